--- /dev/null
+++ b/tests/wire_bytes_test.cc
@@ -0,0 +1,280 @@
+// What travels between nodes, and to and from the platform, stays byte for byte what the builds before wrote:
+// one message of every kind with every field set, and every JSON document, against files that an earlier
+// build made.
+//
+// `tests "[.write-wire-data]"` writes the files anew. That is right only for a kind that is added.
+#include <catch2/catch.hpp>
+#include <fstream>
+
+#include "desired/record.h"
+#include "engine/listing.h"
+#include "hcore/node_state.h"
+#include "ledger/program_head.h"
+#include "platform/adapter.h"
+#include "register/view.h"
+#include "wire/wire.h"
+
+using namespace herontally;
+
+namespace {
+
+using json = nlohmann::json;
+using named_bytes = std::map<std::string, std::string>;
+
+const std::string data_folder = TEST_DATA "/wire/";
+
+std::string hex(const std::string& bytes) {
+  static const char digits[] = "0123456789abcdef";
+  std::string out;
+  for (unsigned char byte : bytes) out += {digits[byte >> 4], digits[byte & 15]};
+  return out;
+}
+
+named_bytes read_lines(const std::string& file) {
+  named_bytes lines;
+  std::ifstream in(data_folder + file);
+  for (std::string name, text; in >> name && in.ignore(1) && std::getline(in, text);) lines[name] = text;
+  return lines;
+}
+
+void write_lines(const std::string& file, const named_bytes& lines) {
+  std::ofstream out(data_folder + file);
+  for (auto& [name, text] : lines) out << name << ' ' << text << '\n';
+}
+
+const std::string bytes_of_all_values = std::string("\0\1\x7f\x80\xff\n", 6);
+
+// Encodes a message, and reads it back into its own type.
+template <class Message>
+void add(named_bytes& out, const std::string& kind, const Message& message) {
+  json fields = message;
+  auto encoded = wire::encode(kind, fields);
+  INFO(kind);
+  REQUIRE(std::holds_alternative<std::string>(encoded));
+  auto& bytes = std::get<std::string>(encoded);
+  auto decoded = wire::decode(kind, bytes);
+  REQUIRE(std::holds_alternative<json>(decoded));
+  REQUIRE(json(std::get<json>(decoded).get<Message>()) == fields);
+  out[kind] = hex(bytes);
+}
+
+template <class Message>
+void add(named_bytes& out, const Message& message) {
+  add(out, Message::record, message);
+}
+
+wire::member a_member(const std::string& name, const std::string& status) {
+  return {name, "hstore", "zone-a", "10.0.0.1:7000", "10.0.0.1:8000", 17, status, 3};
+}
+
+void add_voting(named_bytes& out) {
+  wire::ballot low{3, 5}, high{8, 9};
+  add(out, "ballot", low);
+  add(out, wire::voter_ask{"accept", "voter-1", 4, "key", low, bytes_of_all_values, true, true});
+  add(out, wire::voter_receipt{"behind", high, low, bytes_of_all_values, "{\"view\":1}"});
+  add(out, wire::content_put{"voter-1", "digest", bytes_of_all_values, true, 4});
+  add(out, wire::content_put_receipt{"yes"});
+  add(out, wire::chain_ask{"voter-1", "digest", 12, 4});
+  add(out, wire::chain_receipt{{bytes_of_all_values, "second"}, "yes"});
+  add(out, wire::keys_ask{"voter-1", "k/after", 1000, 7, 4});
+  add(out, wire::keys_receipt{"yes", {"k/a", "c/b"}, {low, high}, true, {high, low}});
+  add(out, wire::records_ask{"voter-1", 4, {"k/a", "c/b"}});
+  add(out, wire::records_receipt{"yes", {bytes_of_all_values, ""}});
+  add(out, wire::fill_ask{"voter-1", 4});
+  add(out, wire::fill_receipt{"failed", {"k/a"}});
+  add(out, wire::sums_ask{"voter-1"});
+  add(out, wire::sums_receipt{"yes", {1, -2, 1ll << 60}});
+  add(out, wire::identify_ask{"store"});
+  add(out, wire::identify_receipt{"voter-1", "{\"view\":1}", false});
+  add(out, wire::install_view{"voter-1", "{\"view\":1}"});
+  add(out, wire::install_view_receipt{"unknown voter"});
+  add(out, wire::handover{"voter-1", 4, "key", low, bytes_of_all_values});
+  add(out, wire::handover_receipt{"view"});
+}
+
+void add_control(named_bytes& out) {
+  add(out, wire::news_ask{"agent-1", 5, 4, 3, 2, 250, 17, 6, "10.0.0.1:9000"});
+  add(out, wire::news_receipt{5,
+                              "{\"revision\":5}",
+                              120,
+                              3,
+                              2,
+                              6,
+                              "[]",
+                              "[{}]",
+                              40,
+                              {"engine-1", "engine-2"},
+                              "{\"agent-2\":9}"});
+  add(out, wire::in_force{"agent-1", 5});
+  add(out, wire::in_force_receipt{"yes"});
+  add(out, wire::chosen{5, "{\"revision\":5}"});
+  add(out, wire::chosen_receipt{5});
+  add(out, "member", a_member("store-1", "suspect"));
+  add(out, wire::probe{"10.0.0.2:7000", true, {a_member("store-1", "alive")}, 99});
+  add(out, wire::probe_receipt{false, {a_member("store-2", "dead"), a_member("store-3", "left")}, 98});
+  add(out, wire::engines_push{3, 2, "[]"});
+  add(out, wire::engines_push_receipt{"lacking", 4});
+  add(out, wire::trace_ask{5});
+  add(out, "trace_event", wire::trace_event{5, "learned", "core", 1234});
+  add(out,
+      wire::trace_receipt{"core-1", "hcore", {{5, "learned", "core", 1234}, {6, "chosen", "register", 1}}});
+  wire::envelope cover{5, "voter_ask", "core-1", bytes_of_all_values};
+  add(out, "envelope", cover);
+}
+
+named_bytes messages() {
+  named_bytes out;
+  add_voting(out);
+  add_control(out);
+  return out;
+}
+
+// A configuration of the operator's with every field that the platform's pages name.
+const char* sent_configuration =
+    R"({"generation":7,"routing":[{"label":"talk","authority":"a.example","path_prefix":"/talk/","category":)"
+    R"("streaming","deadline_ms":1000,"target_ms":400,"urgency":2,"tries":3,"gap_target_ms":70,"retained":true,)"
+    R"("retain_s":60.5,"affine":true,"resumable":true,"mix":[{"backend":"chat","share":0.25},{"backend":"big",)"
+    R"("share":0.75}]},{"label":"print","authority":"b.example","path_prefix":"/print/","category":"mutating",)"
+    R"("deadline_ms":2000,"backend":"big"},{"label":"look","authority":"b.example","path_prefix":"/look/",)"
+    R"("category":"idempotent","deadline_ms":900,"backend":"chat"}],"backends":[{"label":"chat","probe":"/health",)"
+    R"("max_conns":9,"warmup_s":4.5,"warmup_per_s":2.5,"engine":{"capacity":8,"cache_tokens":9000,"chunk":4,)"
+    R"("catalog":[{"label":"m1"},{"label":"m2"}]}},{"label":"big"}],"caps":{"header_bytes":100,"body_bytes":200,)"
+    R"("header_ms":300,"idle_ms":400}})";
+
+const char* listed_page =
+    R"({"servers":[{"id":"i-1","backend":"chat","endpoint":"10.1.0.1:80","zone":"z1","generation":"w2",)"
+    R"("capacity":4,"warmup_left_ms":900,"phase":"draining"}],"next_token":"a b/c"})";
+
+ledger::head a_head() {
+  ledger::head content;
+  content.epoch = 4;
+  content.generation = 2;
+  content.spent = 90;
+  content.length = 3;
+  content.keep_until = 1700000000000000;
+  content.digest = "d3";
+  content.open = {{"turn-4", "request-4", "proxy-1", 17, 60, 1700000001000000}};
+  content.endings = {{"turn-3", "done", "d3", "request-3", 30}, {"turn-2", "cut", "", "request-2", 5}};
+  content.told_spent = {"turn-9", "turn-8"};
+  content.told_pages = "page-1";
+  return content;
+}
+
+void add_stored_documents(named_bytes& out) {
+  reg::voter_place first{"voter-1", "10.0.0.1:7000", "store-1", "zone-a"};
+  reg::voter_place second{"voter-2", "10.0.0.2:7000", "store-2", "zone-b"};
+  out["view"] = reg::view_text({"store", 4, {first, second}, {first}, 9});
+  out["members"] = json(std::vector{a_member("store-1", "alive"), a_member("store-2", "dead")}).dump();
+  out["storage_list"] = json(hcore::storage_list{4, {"store-1", "store-2"}, {"store-1"}}).dump();
+  out["ledger_head"] = ledger::to_text(a_head());
+  out["told_page"] = ledger::to_text(ledger::told_page{"page-0", {"turn-7", "turn-6"}});
+  out["turn_content"] = ledger::to_text(
+      ledger::turn_content{"d2", "p", "chat", "turn-3", "prompt", "output", 2, {1, 2}, {3, 4}});
+  out["call_receipt"] = ledger::to_text(
+      ledger::call_receipt{"done", "request-1", "body", "engine-1", "text/plain", "answer", 2, 200, 11, 12});
+  out["program_head"] =
+      ledger::to_text(ledger::program_head{7, 1700000000000000, {{"turn %", 9}}, {"t1", "t2"}});
+  out["turn_record"] =
+      hex(ledger::to_text(ledger::turn_record{"id 1", "id 0", "in", bytes_of_all_values, 12}));
+  out["turn_key"] = ledger::turn_key("a b%c") + " " + ledger::program_key("a\"b");
+  out["keys"] = ledger::head_key("p", "chat:1") + " " + ledger::receipt_key("p", "label", "key");
+  desired::record record;
+  record.revision = 6;
+  record.version = 5;
+  record.document = {{"shared", {{"evacuated_zones", {"z1"}}}}, {"partners", json::object()}};
+  record.edges = {"agent-1"};
+  record.edges_before = {"agent-1", "agent-2"};
+  record.writers = {"core-1-abc"};
+  out["desired_empty"] = desired::to_text(desired::empty_record());
+  out["desired_record"] = desired::to_text(record);
+  record.sent = sent_configuration;
+  record.taken = {{"digest-1", 5}};
+  auto read = platform::make_dialect()->read_configuration(std::nullopt, {0, false, sent_configuration});
+  record.routing = std::get<dialect::configuration>(read).table;
+  out["desired_routing_record"] = desired::to_text(record);
+  out["desired_fault"] = json(desired::fault{"/shared", "is wrong"}).dump();
+}
+
+std::string reply_text(const runtime::http_receipt& reply) {
+  return std::to_string(reply.status) + " " + json(reply.headers).dump() + " " + reply.body;
+}
+
+void add_platform_documents(named_bytes& out) {
+  auto adapter = platform::make_dialect();
+  auto page = adapter->read_list(listed_page);
+  REQUIRE(page);
+  out["engine_listing"] = engine::listing_text(page->engines);
+  out["list_path"] = adapter->list_path("") + " " + adapter->list_path(page->next) + " " +
+                     adapter->report_path + " " + adapter->ready_path + " " + adapter->echo_header;
+  using dialect::result;
+  dialect::command change = dialect::change_command{}, read = dialect::read_command{},
+                   zone = dialect::evacuation_command{}, status = dialect::retire_status_command{};
+  std::map<std::string, dialect::command> commands{
+      {"change", change}, {"read", read}, {"zone", zone}, {"status", status}};
+  std::map<std::string, result> results{
+      {"done", result::done},       {"rolling", result::rolling},           {"stale", result::stale},
+      {"invalid", result::invalid}, {"unknown_name", result::unknown_name}, {"under_way", result::under_way},
+      {"too_few", result::too_few}, {"unreachable", result::unreachable},   {"unclear", result::unclear}};
+  for (auto& [asked, command] : commands)
+    for (auto& [end, value] : results) {
+      dialect::reply_terms terms{value, sent_configuration, {{"/routing/0/tries", "is no number"}}, 7};
+      out["reply_" + asked + "_" + end] = reply_text(adapter->write_reply(command, terms));
+    }
+  std::map<std::string, std::string> headers{{"x-time-left-ms", "900"}, {"x-attempt-id", "a"}};
+  adapter->address_request(headers, "i-1", 350, 12);
+  adapter->come_back(headers, 1250);
+  out["request_headers"] = json(headers).dump();
+}
+
+named_bytes documents() {
+  named_bytes out;
+  add_stored_documents(out);
+  add_platform_documents(out);
+  return out;
+}
+
+void check_same(const named_bytes& now, const named_bytes& before) {
+  REQUIRE(!before.empty());
+  CHECK(now.size() == before.size());
+  for (auto& [name, bytes] : before) {
+    INFO(name);
+    auto found = now.find(name);
+    REQUIRE(found != now.end());
+    CHECK(found->second == bytes);
+  }
+}
+
+}  // namespace
+
+TEST_CASE("messages of the inner protocol have the bytes that earlier builds wrote") {
+  check_same(messages(), read_lines("messages.txt"));
+}
+
+TEST_CASE("stored and exchanged documents have the text that earlier builds wrote") {
+  check_same(documents(), read_lines("documents.txt"));
+}
+
+TEST_CASE("texts of records are read and written again without a change") {
+  auto texts = read_lines("documents.txt");
+  auto same = [&](const std::string& name, const std::string& again) {
+    INFO(name);
+    CHECK(again == texts.at(name));
+  };
+  same("view", reg::view_text(reg::view_from(texts.at("view"))));
+  same("members", json(json::parse(texts.at("members")).get<std::vector<wire::member>>()).dump());
+  same("storage_list", json(json::parse(texts.at("storage_list")).get<hcore::storage_list>()).dump());
+  same("ledger_head", ledger::to_text(ledger::from_text(texts.at("ledger_head"))));
+  same("told_page", ledger::to_text(*ledger::told_page_from(texts.at("told_page"))));
+  same("turn_content", ledger::to_text(*ledger::content_from(texts.at("turn_content"))));
+  same("call_receipt", ledger::to_text(*ledger::receipt_from(texts.at("call_receipt"))));
+  same("program_head", ledger::to_text(*ledger::program_head_from(texts.at("program_head"))));
+  same("desired_record", desired::to_text(*desired::from_text(texts.at("desired_record"))));
+  auto record = *desired::from_text(texts.at("desired_routing_record"));
+  same("desired_routing_record", desired::to_text(record));
+  CHECK(json(record.routing.get<routing::table>()) == record.routing);
+}
+
+TEST_CASE("write the files of messages and documents", "[.write-wire-data]") {
+  write_lines("messages.txt", messages());
+  write_lines("documents.txt", documents());
+}
