--- /dev/null
+++ b/src/consensus/proposer.cc
@@ -0,0 +1,259 @@
+#include "consensus/proposer.h"
+
+#include "consensus/proposer_state.h"
+#include "runtime/breaks.h"
+
+namespace herontally::consensus {
+
+using runtime::microseconds;
+using runtime::millisecond;
+using runtime::task;
+
+namespace {
+
+// How much longer than its own timeout a voter's reply is waited for.
+constexpr microseconds reply_grace = 50 * millisecond;
+
+struct voter_reply {
+  std::string voter;
+  std::optional<rpc::vote_reply> reply;  // nothing: none came
+};
+
+task<> request_vote(rpc::endpoint endpoint, std::string address, rpc::vote_request request, std::string voter,
+                    microseconds timeout, runtime::mailbox<voter_reply> replies) {
+  auto result = co_await endpoint.call(std::move(address), std::move(request), timeout);
+  voter_reply received;
+  received.voter = std::move(voter);
+  if (auto* reply = std::get_if<rpc::vote_reply>(&result)) received.reply = std::move(*reply);
+  replies.push(std::move(received));
+}
+
+task<> install_view(rpc::endpoint endpoint, std::string address, std::string id, view chosen) {
+  rpc::install_view_request request{id, to_text(chosen)};
+  co_await endpoint.call(std::move(address), std::move(request), round_timeout);
+}
+
+task<> request_view(rpc::endpoint endpoint, std::string address, std::string group,
+                    runtime::mailbox<std::string> views) {
+  rpc::identify_request request{group};
+  auto result = co_await endpoint.call(std::move(address), std::move(request), round_timeout);
+  auto* reply = std::get_if<rpc::identify_reply>(&result);
+  views.push(reply ? reply->view : std::string());
+}
+
+// Of the replies to a prepare or a read.
+struct accepted_value {
+  std::optional<std::string> value;  // under the highest accepted ballot
+  bool agreed = true;                // all replies name the same ballot
+};
+
+accepted_value highest_accepted(const std::vector<rpc::vote_reply>& replies) {
+  accepted_value found;
+  const rpc::vote_reply* highest = nullptr;
+  for (auto& reply : replies) {
+    if (reply.accepted != replies.front().accepted) found.agreed = false;
+    if (reply.accepted.counter > 0 && (!highest || reply.accepted > highest->accepted)) highest = &reply;
+  }
+  if (highest) found.value = highest->value;
+  return found;
+}
+
+// Colliding proposers draw lots, so that one of them gets through.
+task<> back_off(runtime::handle runtime, int retry) {
+  constexpr microseconds base = 10 * millisecond, longest = 160 * millisecond, least = 2 * millisecond;
+  microseconds spread = std::min(base << std::min(retry, 4), longest);
+  co_await runtime.sleep(least + static_cast<microseconds>(runtime.draw(static_cast<std::uint64_t>(spread))));
+}
+
+}  // namespace
+
+proposer::proposer(rpc::endpoint endpoint, std::string group)
+    : state_(std::make_shared<state>(endpoint, group)) {}
+rpc::endpoint proposer::endpoint() const { return state_->endpoint; }
+const view& proposer::current_view() const { return state_->current; }
+void proposer::learn(const view& seen) { state_->learn(seen); }
+void proposer::set_seeds(std::function<std::vector<std::string>()> addresses) {
+  state_->seeds = std::move(addresses);
+}
+
+proposer::state::state(rpc::endpoint from, std::string name)
+    : endpoint(std::move(from)),
+      group(std::move(name)),
+      // Random for each start: never the same as before a restart.
+      identity(static_cast<std::int64_t>(endpoint.runtime().random()() >> 1)),
+      window(endpoint.runtime()) {}
+
+void proposer::state::learn(const view& seen) {
+  if (seen.group == group && seen.number > current.number) current = seen;
+}
+
+// Sends to every voter at once and returns as soon as a quorum said ok, or once it no longer can.
+task<round_result> proposer::state::run_round(rpc::vote_request request, view used, microseconds deadline) {
+  auto self = shared_from_this();
+  round_result result;
+  request.view = used.number;
+  auto runtime = self->endpoint.runtime();
+  runtime::mailbox<voter_reply> replies(runtime);
+  auto voters = used.all_voters();
+  microseconds timeout = std::min<microseconds>(round_timeout, deadline - runtime.now());
+  if (voters.empty() || timeout <= 0) co_return result;
+  self->endpoint.logger().count("herontally_register_rounds_total");
+  for (auto& voter : voters) {
+    request.voter = voter.id;
+    runtime.spawn(request_vote(self->endpoint, voter.address, request, voter.id, timeout, replies));
+  }
+  std::set<std::string> agreeing;
+  auto agrees = [&agreeing](const std::string& id) { return agreeing.count(id) > 0; };
+  for (std::size_t received = 0; received < voters.size() && !result.quorum; ++received) {
+    auto next = co_await replies.pop(timeout + reply_grace);
+    if (!next) break;
+    if (!next->reply) continue;
+    self->note_reply(used, next->voter, *next->reply, result);
+    if (next->reply->status != rpc::reply_status::ok) continue;
+    agreeing.insert(next->voter);
+    result.replies.push_back(std::move(*next->reply));
+    result.quorum = used.quorum(agrees);
+  }
+  result.missed = voters.size() - agreeing.size();
+  co_return result;
+}
+
+void proposer::state::note_reply(const view& used, const std::string& voter, const rpc::vote_reply& reply,
+                                 round_result& result) {
+  // A refusal still tells how far the others are.
+  result.highest = std::max({result.highest, reply.promised, reply.accepted});
+  switch (reply.status) {
+    case rpc::reply_status::view_mismatch: {
+      auto installed = view_from_text(reply.view);
+      learn(installed);
+      result.view_changed = result.view_changed || current.number > used.number;
+      // A voter that missed an installation catches up from any proposer that knows the chosen view.
+      if (installed.number < used.number) send_view(used, voter);
+      break;
+    }
+    case rpc::reply_status::ballot_outdated:
+      result.ballot_outdated = true;
+      break;
+    case rpc::reply_status::disk_full:
+      result.disk_full = true;
+      break;
+    case rpc::reply_status::unknown_voter:
+      identity_refused = true;
+      break;
+    default:
+      break;
+  }
+}
+
+void proposer::state::send_view(const view& chosen, const std::string& id) {
+  for (auto& voter : chosen.all_voters())
+    if (voter.id == id) endpoint.runtime().spawn(install_view(endpoint, voter.address, id, chosen));
+}
+
+task<> proposer::refresh_view(microseconds deadline) {
+  auto self = state_;
+  auto runtime = self->endpoint.runtime();
+  if (!self->seeds) co_return;
+  runtime::mailbox<std::string> views(runtime);
+  auto addresses = self->seeds();
+  for (auto& address : addresses) runtime.spawn(request_view(self->endpoint, address, self->group, views));
+  std::int64_t known = self->current.number;
+  for (std::size_t received = 0; received < addresses.size(); ++received) {
+    auto wait = std::min(round_timeout * 2, deadline - runtime.now());
+    auto text = co_await views.pop(std::max<microseconds>(0, wait));
+    if (!text) break;
+    if (!text->empty()) self->learn(view_from_text(*text));
+    // One newer view is enough to go on with; voters correct it if there is a newer one still.
+    if (self->current.number > known) break;
+  }
+  self->identity_refused = false;
+}
+
+rpc::vote_request proposer::state::prepare_request(const std::string& key, bool urgent) {
+  rpc::vote_request request;
+  request.phase = rpc::vote_phase::prepare;
+  request.key = key;
+  // At least the wall clock, so that a record which one store has removed as expired and another still holds
+  // loses to whatever is written after it.
+  counter = std::max<std::int64_t>({counter, highest_seen, endpoint.runtime().wall()}) + 1;
+  request.ballot = {counter, identity};
+  request.urgent = urgent;
+  return request;
+}
+
+task<std::optional<change_result>> proposer::state::try_change(std::string key, mutator next, bool urgent,
+                                                               microseconds deadline,
+                                                               std::shared_ptr<attempt> so_far) {
+  auto self = shared_from_this();
+  auto unfinished = [so_far](change_status otherwise) {
+    return change_result{so_far->may_be_written ? change_status::unknown : otherwise, std::nullopt};
+  };
+  view used = self->current;
+  auto request = self->prepare_request(key, urgent);
+  auto prepared = co_await self->run_round(request, used, deadline);
+  self->highest_seen = std::max(self->highest_seen, prepared.highest.counter);
+  if (!prepared.quorum) {
+    if (prepared.disk_full) co_return unfinished(change_status::disk_full);
+    so_far->refresh_first = !prepared.ballot_outdated && !prepared.view_changed;
+    co_return std::nullopt;
+  }
+  auto current = highest_accepted(prepared.replies);
+  auto proposed = next(current.value);
+  // An unchanged value that a quorum holds under one ballot is agreed already.
+  if (!proposed && (current.agreed || !current.value))
+    co_return change_result{change_status::declined, current.value};
+  request.phase = rpc::vote_phase::accept;
+  request.promise_next = true;
+  request.view = used.number;
+  request.value = proposed ? *proposed : *current.value;
+  so_far->may_be_written = so_far->may_be_written || proposed.has_value();
+  view accept_view = broken("view_of_prepare") ? self->current : used;
+  auto accepted = co_await self->run_round(request, accept_view, deadline);
+  self->highest_seen = std::max(self->highest_seen, accepted.highest.counter);
+  if (accepted.quorum) {
+    if (self->current.number == used.number) self->keep_promise(key, request, accepted);
+    self->count_missed(accepted);
+    co_return change_result{proposed ? change_status::committed : change_status::declined, request.value};
+  }
+  if (accepted.disk_full) co_return change_result{change_status::unknown, std::nullopt};
+  co_return std::nullopt;
+}
+
+task<change_result> proposer::change(std::string key, mutator next, microseconds deadline, bool urgent) {
+  auto self = state_;
+  auto runtime = self->endpoint.runtime();
+  auto so_far = std::make_shared<state::attempt>();
+  auto early = co_await self->change_by_promise(key, next, urgent, deadline, so_far);
+  if (early) co_return change_result{change_status::committed, early};
+  for (int retry = 0; runtime.now() < deadline; ++retry) {
+    if (retry > 0) {
+      co_await back_off(runtime, retry);
+      self->endpoint.logger().count("herontally_register_collisions_total");
+    }
+    if (self->current.voters.empty() || self->identity_refused) co_await refresh_view(deadline);
+    so_far->refresh_first = false;
+    auto result = co_await self->try_change(key, next, urgent, deadline, so_far);
+    if (result) co_return *result;
+    if (so_far->refresh_first && retry > 0) co_await refresh_view(deadline);
+  }
+  co_return change_result{so_far->may_be_written ? change_status::unknown : change_status::unreachable,
+                          std::nullopt};
+}
+
+task<change_result> proposer::read(std::string key, microseconds deadline) {
+  auto self = state_;
+  if (self->current.voters.empty()) co_await refresh_view(deadline);
+  rpc::vote_request request;
+  request.phase = rpc::vote_phase::read;
+  request.key = key;
+  auto round = co_await self->run_round(request, self->current, deadline);
+  if (round.quorum) {
+    auto current = highest_accepted(round.replies);
+    if (current.agreed) co_return change_result{change_status::declined, current.value};
+  }
+  // The replicas differ: finishing the ballot decides which value stands.
+  auto leave = [](const std::optional<std::string>&) { return std::nullopt; };
+  co_return co_await change(std::move(key), leave, deadline);
+}
+
+}  // namespace herontally::consensus
--- a/src/dialect/dialect.h
+++ b/src/dialect/dialect.h
@@ -112,7 +112,7 @@
   std::function<std::optional<engine_report>(const std::string& body)> read_report;
 
   std::function<command(const runtime::inbound_request& request)> read_command;
-  std::function<runtime::http_receipt(const command& asked, const reply_terms& terms)> write_reply;
+  std::function<runtime::http_response(const command& asked, const reply_terms& terms)> write_reply;
   // A whole configuration, or a partial one laid over `current` (as sent); or what stands against it.
   std::function<std::variant<configuration, std::vector<routing::fault>>(
       const std::optional<std::string>& current, const change_command& change)>
--- a/src/duty/duty.cc
+++ b/src/duty/duty.cc
@@ -7,31 +7,31 @@
 using runtime::task;
 
 struct duty::state {
-  members::members known;
-  reg::proposer catalog;
-  std::string name, role;
+  membership::member_list known;
+  consensus::proposer catalog;
+  std::string name;
+  rpc::node_role role;
   bool holding = false;
   std::int64_t epoch = 0;
 };
 
-duty::duty(members::members known, reg::proposer catalog, std::string name, std::string role)
-    : state_(std::make_shared<state>(
-          state{std::move(known), std::move(catalog), std::move(name), std::move(role)})) {}
+duty::duty(membership::member_list known, consensus::proposer catalog, std::string name, rpc::node_role role)
+    : state_(std::make_shared<state>(state{std::move(known), std::move(catalog), std::move(name), role})) {}
 bool duty::mine() const { return state_->holding; }
 std::int64_t duty::epoch() const { return state_->epoch; }
 void duty::superseded(std::int64_t seen) {
   if (seen > state_->epoch) state_->holding = false;
 }
 
-static bool first_in_line(const members::members& known, const std::string& role) {
+static bool first_in_line(const membership::member_list& known, rpc::node_role role) {
   auto live = known.live(role);
   return !live.empty() && live.front().name == known.self().name;
 }
 
 void duty::start() {
-  auto runtime = state_->catalog.port().runtime();
+  auto runtime = state_->catalog.endpoint().runtime();
   runtime.spawn([](std::shared_ptr<state> here, runtime::handle runtime) -> task<> {
-    auto journal = here->catalog.port().journal();
+    auto logger = here->catalog.endpoint().logger();
     std::string key = "duty/" + here->name;
     while (true) {
       bool first = first_in_line(here->known, here->role);
@@ -49,13 +49,13 @@
               .dump();
         };
         auto result = co_await here->catalog.change(key, claim, runtime.now() + 2 * second, true);
-        bool known = result.end == reg::change_end::settled || result.end == reg::change_end::declined;
+        bool known = result.known();
         auto document =
             known && result.value ? nlohmann::json::parse(*result.value, nullptr, false) : nlohmann::json();
         if (document.is_object() && document.value("holder", "") == holder) {
           here->epoch = document.value("epoch", std::int64_t{0});
           here->holding = true;
-          journal.info("duty taken", {{"duty", here->name}, {"epoch", here->epoch}});
+          logger.info("duty taken", {{"duty", here->name}, {"epoch", here->epoch}});
         }
       }
       co_await runtime.sleep(200 * millisecond);
--- a/src/duty/duty.h
+++ b/src/duty/duty.h
@@ -1,15 +1,15 @@
 // A duty that one node does: the first live node in the agreed order, under an epoch that others refuse to go
 // below.
 #pragma once
-#include "members/members.h"
-#include "register/proposer.h"
+#include "consensus/proposer.h"
+#include "membership/member_list.h"
 
 namespace herontally::duty {
 
 class duty {
  public:
   // Nodes of `role` share the duty, in the order of their names.
-  duty(members::members known, reg::proposer catalog, std::string name, std::string role);
+  duty(membership::member_list known, consensus::proposer catalog, std::string name, rpc::node_role role);
   void start();
   bool mine() const;
   std::int64_t epoch() const;
--- a/src/engine/listing.cc
+++ b/src/engine/listing.cc
@@ -19,9 +19,9 @@
     // One caller asks again and again: a new connection for each call would cost more than the call.
     request.pooled = true;
     auto result = co_await runtime::http_fetch(runtime, address, request, left);
-    auto* receipt = std::get_if<runtime::http_receipt>(&result);
-    if (!receipt || receipt->status != 200) co_return std::nullopt;
-    auto read = dialect->read_list(receipt->body);
+    auto* response = std::get_if<runtime::http_response>(&result);
+    if (!response || response->status != 200) co_return std::nullopt;
+    auto read = dialect->read_list(response->body);
     if (!read) co_return std::nullopt;
     ++found.pages;
     for (auto& each : read->engines) found.engines.push_back(std::move(each));
--- a/src/engine/watch.cc
+++ b/src/engine/watch.cc
@@ -14,21 +14,21 @@
 
 struct watch::state : std::enable_shared_from_this<watch::state> {
   runtime::handle runtime;
-  logging::journal journal;
+  logging::logger logger;
   names::table numbers;
   std::vector<engine_row> rows;
   std::function<void(const engine_row&)> reset;
   std::function<void()> reported;
   bool started = false;
-  state(runtime::handle handle, logging::journal lines)
-      : runtime(std::move(handle)), journal(std::move(lines)) {}
+  state(runtime::handle handle, logging::logger lines)
+      : runtime(std::move(handle)), logger(std::move(lines)) {}
 
   void take_report(engine_row& row, const std::string& text);
   static task<> poll(std::shared_ptr<state> self, names::index number);
 };
 
-watch::watch(runtime::handle runtime, logging::journal journal)
-    : state_(std::make_shared<state>(std::move(runtime), std::move(journal))) {}
+watch::watch(runtime::handle runtime, logging::logger logger)
+    : state_(std::make_shared<state>(std::move(runtime), std::move(logger))) {}
 std::vector<engine_row>& watch::rows() { return state_->rows; }
 engine_row& watch::row(names::index number) { return state_->rows[number]; }
 void watch::on_reset(std::function<void(const engine_row&)> handler) { state_->reset = std::move(handler); }
@@ -60,7 +60,7 @@
       fresh.leaving = entry.value("state", "running") != "running";
     } catch (const json::exception&) {
       // One entry that can't be read doesn't hide the others.
-      self->journal.warn("engine entry can't be read");
+      self->logger.warn("engine entry can't be read");
       continue;
     }
     auto number = self->numbers.intern(fresh.name);
@@ -73,7 +73,7 @@
     bool moved = !is_new && (row.address != fresh.address || row.weights != fresh.weights);
     bool left = !is_new && fresh.leaving && !row.leaving;
     if (fresh.leaving && !row.leaving)
-      self->journal.info("engine leaves", {{"engine", fresh.name}, {"says", "platform"}});
+      self->logger.info("engine leaves", {{"engine", fresh.name}, {"says", "platform"}});
     row.name = fresh.name;
     row.kind = fresh.kind;
     row.partner = fresh.partner;
@@ -103,7 +103,7 @@
   for (auto& row : self->rows) {
     bool named = std::find(names.begin(), names.end(), row.name) != names.end();
     if (!named || row.leaving) continue;
-    self->journal.info("engine leaves", {{"engine", row.name}, {"says", "platform, to the agent"}});
+    self->logger.info("engine leaves", {{"engine", row.name}, {"says", "platform, to the agent"}});
     row.leaving = true;
     if (self->reset) self->reset(row);
   }
@@ -135,7 +135,7 @@
         static_cast<microseconds>(sample(text, "herontally_engine_ready_seconds", 0) * runtime::second);
     if (reset) reset(row);
   }
-  if (draining && !row.draining) journal.info("engine leaves", {{"engine", row.name}, {"says", "itself"}});
+  if (draining && !row.draining) logger.info("engine leaves", {{"engine", row.name}, {"says", "itself"}});
   if (draining && !row.draining && reset) reset(row);
   row.draining = draining;
   row.queue = static_cast<std::int64_t>(sample(text, "vllm:num_requests_waiting", 0));
@@ -155,12 +155,12 @@
       request.path = "/metrics";
       auto result = co_await runtime::http_fetch(self->runtime, address, request, report_timeout);
       auto& row = self->rows[number];
-      auto* receipt = std::get_if<runtime::http_receipt>(&result);
+      auto* response = std::get_if<runtime::http_response>(&result);
       if (row.address == address) {
-        if (receipt && receipt->status == 200) {
+        if (response && response->status == 200) {
           row.unseen = std::max<std::int64_t>(0, row.unseen - before);
           row.report_asked = begun;
-          self->take_report(row, receipt->body);
+          self->take_report(row, response->body);
         } else {
           row.answers = false;
         }
--- a/src/engine/watch.h
+++ b/src/engine/watch.h
@@ -22,7 +22,7 @@
 
 class watch {
  public:
-  watch(runtime::handle runtime, logging::journal journal);
+  watch(runtime::handle runtime, logging::logger logger);
   // The platform's list. An engine that it no longer names is left at once.
   void list(const std::string& text);
   // Leaving, whatever the list says; until a list says otherwise.
--- a/src/forward/attempt.cc
+++ b/src/forward/attempt.cc
@@ -58,29 +58,29 @@
   if (!on_idle_connection) return;
   // The engine may have forgotten the connection; what was sent may have run all the same.
   idle.lost(one.service.name, failure.idle_before, runtime.now());
-  journal.count("herontally_idle_connections_lost_total");
-  journal.info("request lost on an idle connection",
-               {{"service", one.service.name}, {"idle_milliseconds", failure.idle_before / millisecond}});
+  logger.count("herontally_idle_connections_lost_total");
+  logger.info("request lost on an idle connection",
+              {{"service", one.service.name}, {"idle_milliseconds", failure.idle_before / millisecond}});
 }
 
 task<attempt_end> door::state::attempt(exchange_pointer one, plan made) {
   auto self = shared_from_this();
   auto number = made.engine;
-  self->journal.count("herontally_placements_total");
-  if (made.cached_tokens > 0) self->journal.count("herontally_placements_kept_total");
+  self->logger.count("herontally_placements_total");
+  if (made.cached_tokens > 0) self->logger.count("herontally_placements_kept_total");
   if (made.source) {
     // Who could lend the rest is named on the ordinary path; the order to pull is not known here
     // (docs/platform.md, questions), so that the destination computes what it lacks.
-    self->journal.count("herontally_sources_total");
-    self->journal.count("herontally_source_tokens_total",
-                        static_cast<double>(made.source_tokens - made.cached_tokens));
+    self->logger.count("herontally_sources_total");
+    self->logger.count("herontally_source_tokens_total",
+                       static_cast<double>(made.source_tokens - made.cached_tokens));
   }
-  self->journal.debug("placed", {{"request", one->terms.attempt},
-                                 {"engine", made.engine_id},
-                                 {"attempt", made.attempt},
-                                 {"version", made.version},
-                                 {"cached", made.cached_tokens},
-                                 {"source", made.source.value_or("")}});
+  self->logger.debug("placed", {{"request", one->terms.attempt},
+                                {"engine", made.engine_id},
+                                {"attempt", made.attempt},
+                                {"version", made.version},
+                                {"cached", made.cached_tokens},
+                                {"source", made.source.value_or("")}});
   self->engines.sent(number, made.unread_tokens, self->runtime.now());
   auto stream =
       std::make_shared<runtime::http_stream>(self->runtime, made.address, self->request_for(*one, made));
@@ -146,24 +146,24 @@
 task<attempt_end> door::state::pass_whole(exchange_pointer one, std::shared_ptr<runtime::http_stream> stream,
                                           int status, headers answer) {
   auto self = shared_from_this();
-  runtime::http_receipt receipt;
-  receipt.status = status;
-  receipt.headers = std::move(answer);
+  runtime::http_response response;
+  response.status = status;
+  response.headers = std::move(answer);
   while (true) {
     auto next = co_await stream->next(std::max<microseconds>(1, one->deadline - self->runtime.now()));
     if (one->gone) co_return attempt_end::gone;
     if (!next) co_return attempt_end::overdue;
     if (std::holds_alternative<runtime::http_end>(*next)) break;
     if (std::holds_alternative<runtime::http_failure>(*next)) co_return attempt_end::unknown;
-    if (auto* piece = std::get_if<runtime::http_piece>(&*next)) receipt.body += piece->bytes;
+    if (auto* piece = std::get_if<runtime::http_piece>(&*next)) response.body += piece->bytes;
   }
-  auto terms = self->speech->read_answer(status, receipt.headers);
+  auto terms = self->speech->read_answer(status, response.headers);
   bool success = status >= 200 && status < 300;
   // A success counts only under the engine's stamp; these statuses would promise what nobody promised.
   bool promise = status == 429 || status == 503 || status == 408;
   if ((success && !terms.sealed) || promise) co_return attempt_end::unknown;
-  self->journal.count("herontally_answers_total");
-  one->out->reply(std::move(receipt));
+  self->logger.count("herontally_answers_total");
+  one->out->reply(std::move(response));
   co_return attempt_end::done;
 }
 
@@ -190,7 +190,7 @@
     if (next && std::holds_alternative<runtime::http_end>(*next)) break;
     if (!one->head_sent) co_return next ? attempt_end::unknown : attempt_end::overdue;
     // An answer that ends early must look so.
-    self->journal.count("herontally_streams_cut_total");
+    self->logger.count("herontally_streams_cut_total");
     one->out->cut();
     co_return attempt_end::cut;
   }
@@ -205,7 +205,7 @@
     // The answer is whole only once what was said is lasting: from its end on the turn may be gone on from.
     bool lasting = co_await self->programs.keep(std::move(record), until);
     if (!lasting) {
-      self->journal.count("herontally_turns_not_kept_total");
+      self->logger.count("herontally_turns_not_kept_total");
       one->out->cut();
       co_return attempt_end::cut;
     }
@@ -213,7 +213,7 @@
   if (!one->head_sent) one->out->start(200, answer);
   one->head_sent = true;
   one->out->finish();
-  self->journal.count("herontally_answers_total");
+  self->logger.count("herontally_answers_total");
   co_return attempt_end::done;
 }
 
--- a/src/forward/door.cc
+++ b/src/forward/door.cc
@@ -4,9 +4,9 @@
 
 namespace herontally::forward {
 
-door::door(runtime::handle runtime, logging::journal journal, std::shared_ptr<const dialect::dialect> speech,
+door::door(runtime::handle runtime, logging::logger logger, std::shared_ptr<const dialect::dialect> speech,
            ledger::programs programs, door_options choice)
-    : state_(std::make_shared<state>(runtime, journal, std::move(speech), std::move(programs),
+    : state_(std::make_shared<state>(runtime, logger, std::move(speech), std::move(programs),
                                      std::move(choice))) {}
 
 void door::routing(routing::table table, std::set<std::string> evacuated) {
@@ -42,14 +42,14 @@
 
 void door::state::refuse(const exchange_pointer& one, int status, const std::string& why,
                          std::int64_t come_back) {
-  journal.count("herontally_refusals_total{reason=\"" + why + "\"}");
-  journal.debug("refused", {{"request", one->terms.attempt}, {"status", status}, {"why", why}});
-  runtime::http_receipt receipt;
-  receipt.status = status;
-  receipt.headers["Content-Type"] = "application/json";
-  receipt.body = nlohmann::json{{"error", why}}.dump() + "\n";
-  if (come_back > 0) speech->come_back(receipt.headers, come_back);
-  one->out->reply(std::move(receipt));
+  logger.count("herontally_refusals_total{reason=\"" + why + "\"}");
+  logger.debug("refused", {{"request", one->terms.attempt}, {"status", status}, {"why", why}});
+  runtime::http_response response;
+  response.status = status;
+  response.headers["Content-Type"] = "application/json";
+  response.body = nlohmann::json{{"error", why}}.dump() + "\n";
+  if (come_back > 0) speech->come_back(response.headers, come_back);
+  one->out->reply(std::move(response));
 }
 
 void door::state::wake() { room.wake_all(); }
--- a/src/forward/door.h
+++ b/src/forward/door.h
@@ -18,7 +18,7 @@
 
 class door {
  public:
-  door(runtime::handle runtime, logging::journal journal, std::shared_ptr<const dialect::dialect> speech,
+  door(runtime::handle runtime, logging::logger logger, std::shared_ptr<const dialect::dialect> speech,
        ledger::programs programs, door_options choice);
   // What is in force from now on.
   void routing(routing::table table, std::set<std::string> evacuated);
--- a/src/forward/door_state.h
+++ b/src/forward/door_state.h
@@ -45,7 +45,7 @@
 
 struct door::state : std::enable_shared_from_this<door::state> {
   runtime::handle runtime;
-  logging::journal journal;
+  logging::logger logger;
   std::shared_ptr<const dialect::dialect> speech;
   ledger::programs programs;
   door_options choice;
@@ -58,10 +58,10 @@
   bool leaving = false, closed = false, routed = false;
   waiting_list room;  // requests that wait for an engine
 
-  state(runtime::handle handle, logging::journal lines, std::shared_ptr<const dialect::dialect> from,
+  state(runtime::handle handle, logging::logger lines, std::shared_ptr<const dialect::dialect> from,
         ledger::programs ledger, door_options chosen)
       : runtime(handle),
-        journal(lines),
+        logger(lines),
         speech(std::move(from)),
         programs(std::move(ledger)),
         choice(std::move(chosen)) {}
--- a/src/forward/request.cc
+++ b/src/forward/request.cc
@@ -76,7 +76,7 @@
   std::int64_t each = one->service.model ? one->service.model->event_tokens : 1;
   auto result = co_await self->programs.settle(one->terms.program, one->terms.attempt, one->events * each,
                                                self->runtime.now() + 5 * second);
-  if (result != ledger::settle_result::settled) self->journal.count("herontally_unsettled_turns_total");
+  if (result != ledger::settle_result::settled) self->logger.count("herontally_unsettled_turns_total");
 }
 
 task<> door::state::attempts(exchange_pointer one) {
--- a/src/gateway/http.cc
+++ b/src/gateway/http.cc
@@ -34,8 +34,8 @@
   out->reply({200, {{"Content-Type", type}}, text});
 }
 
-bool common_pages(const runtime::inbound_request& incoming, const writer& out,
-                  const logging::journal& journal, bool ready, json detail) {
+bool common_pages(const runtime::inbound_request& incoming, const writer& out, const logging::logger& logger,
+                  bool ready, json detail) {
   if (incoming.method != "GET") return false;
   if (incoming.path == "/healthz") {
     reply_json(out, 200, {{"status", "alive"}});
@@ -47,7 +47,7 @@
     return true;
   }
   if (incoming.path == "/metrics") {
-    reply_text(out, "text/plain; version=0.0.4", journal.metrics());
+    reply_text(out, "text/plain; version=0.0.4", logger.metrics());
     return true;
   }
   return false;
--- a/src/gateway/http.h
+++ b/src/gateway/http.h
@@ -16,8 +16,8 @@
           int retry_seconds = 0, json extra = json::object());
 void reply_text(const writer& out, const std::string& type, const std::string& text);
 // Answers /healthz, /readyz and /metrics; true when it did.
-bool common_pages(const runtime::inbound_request& incoming, const writer& out,
-                  const logging::journal& journal, bool ready, json detail = json::object());
+bool common_pages(const runtime::inbound_request& incoming, const writer& out, const logging::logger& logger,
+                  bool ready, json detail = json::object());
 std::string bearer(const runtime::inbound_request& incoming);
 
 }  // namespace herontally::gateway
--- a/src/hagent/node.cc
+++ b/src/hagent/node.cc
@@ -7,22 +7,22 @@
 
 namespace herontally::hagent {
 
-node::state::state(runtime::handle handle, settings::settings given, logging::journal lines,
+node::state::state(runtime::handle handle, settings::settings given, logging::logger lines,
                    std::shared_ptr<const dialect::dialect> speech)
     : runtime(handle),
       place(std::move(given)),
-      journal(lines),
+      logger(lines),
       surroundings(std::move(speech)),
-      port(handle, place.name, lines),
-      known(port, members::row_of(place, "hagent"), place.seeds),
+      endpoint(handle, place.name, lines),
+      known(endpoint, membership::own_entry(place, rpc::node_role::agent), place.seeds),
       board(handle),
       fresh(handle, place.name) {
-  if (place.speaks > 0) port.speak(place.speaks);
+  if (place.speaks > 0) endpoint.set_version(place.speaks);
 }
 
-node::node(runtime::handle runtime, settings::settings place, logging::journal journal,
+node::node(runtime::handle runtime, settings::settings place, logging::logger logger,
            std::shared_ptr<const dialect::dialect> surroundings)
-    : state_(std::make_shared<state>(std::move(runtime), std::move(place), std::move(journal),
+    : state_(std::make_shared<state>(std::move(runtime), std::move(place), std::move(logger),
                                      std::move(surroundings))) {}
 node::~node() = default;
 
@@ -30,7 +30,7 @@
   auto self = state_;
   std::weak_ptr<state> weak = self;
   self->serve();
-  if (!self->port.listen(self->place.inner)) co_return "inner can't be listened on: " + self->place.inner;
+  if (!self->endpoint.listen(self->place.inner)) co_return "inner can't be listened on: " + self->place.inner;
   self->known.start();
   self->runtime.spawn(self->core_link());
   self->runtime.spawn(self->ask_peers());
@@ -45,11 +45,11 @@
     if (!here) return;
     auto age = here->age_milliseconds();
     bool ready = age >= 0 && age * millisecond <= news::longest_age && !here->leaving;
-    if (!gateway::common_pages(incoming, out, here->journal, ready, {{"revision", here->board.revision()}}))
+    if (!gateway::common_pages(incoming, out, here->logger, ready, {{"revision", here->board.revision()}}))
       gateway::drop(out, 404, "no such page", "no");
   });
   if (!served) co_return "http can't be listened on: " + self->place.http;
-  self->journal.info("started");
+  self->logger.info("started");
   co_return std::nullopt;
 }
 
@@ -75,28 +75,28 @@
 // The first list of a new life, when it is old where it comes from, may not say which engines leave, and we
 // can't know it from before. We look at the platform first, and go by the list when that look is over:
 // without an answer the engines' own word is all there is.
-bool node::state::may_take_list(const wire::news_receipt& receipt) {
-  auto age = receipt.engines_age_milliseconds;
+bool node::state::may_take_list(const rpc::config_update_reply& reply) {
+  auto age = reply.engines_age_milliseconds;
   bool old = age < 0 || age * millisecond > list_is_old;
   bool may = !old || looked || board.engines_sequence() > 0 || broken("outlook");
   list_offered = !may;
   return may;
 }
 
-void node::state::learn(const wire::news_receipt& receipt, const std::string& way) {
-  if (!receipt.engines.empty() && may_take_list(receipt))
-    board.set_engines(receipt.engines_epoch, receipt.engines_sequence, receipt.engines);
-  if (receipt.state.empty()) return;
-  auto content = desired::from_text(receipt.state);
-  if (!content || !board.set_state(content->revision, receipt.state)) return;
+void node::state::learn(const rpc::config_update_reply& reply, const std::string& way) {
+  if (!reply.engines.empty() && may_take_list(reply))
+    board.set_engines(reply.engines_epoch, reply.engines_sequence, reply.engines);
+  if (reply.config.empty()) return;
+  auto content = desired::from_text(reply.config);
+  if (!content || !board.set_state(content->revision, reply.config)) return;
   edges = content->edges;
   for (auto& name : content->edges_before)
     if (std::find(edges.begin(), edges.end(), name) == edges.end()) edges.push_back(name);
   fresh.edges(content->edges, content->edges_before);
   trace.push_back({content->revision, "learned", way, runtime.wall()});
   if (trace.size() > 500) trace.erase(trace.begin(), trace.begin() + 250);
-  journal.info("desired state learned", {{"revision", content->revision}, {"way", way}});
-  journal.gauge("herontally_desired_revision", static_cast<double>(content->revision));
+  logger.info("desired state learned", {{"revision", content->revision}, {"way", way}});
+  logger.gauge("herontally_desired_revision", static_cast<double>(content->revision));
 }
 
 // Asks one core with the revision at hand and is answered on news; another core when that one fails.
@@ -105,32 +105,32 @@
   std::size_t turn = self->runtime.draw(3);
   while (true) {
     std::vector<std::string> cores;
-    for (auto& each : self->known.live("hcore")) cores.push_back(each.inner);
+    for (auto& each : self->known.live(rpc::node_role::core)) cores.push_back(each.inner);
     // A seed that is no core closes the question, and the next one is tried.
     if (cores.empty()) cores = self->place.seeds;
     std::string address = cores[turn % cores.size()];
-    wire::news_ask question;
-    question.node = self->place.name;
-    question.revision = self->board.revision();
-    question.in_force = self->in_force();
-    question.engines_epoch = self->board.engines_epoch();
-    question.engines_sequence = self->board.engines_sequence();
-    question.wait_milliseconds = 250;
+    rpc::config_update_request request;
+    request.node = self->place.name;
+    request.revision = self->board.revision();
+    request.applied_revision = self->in_force();
+    request.engines_epoch = self->board.engines_epoch();
+    request.engines_sequence = self->board.engines_sequence();
+    request.wait_milliseconds = 250;
     auto asked = self->runtime.now();
-    auto result = co_await self->port.ask(address, std::move(question), 600 * millisecond);
-    auto* receipt = std::get_if<wire::news_receipt>(&result);
-    bool useful = receipt && receipt->age_milliseconds >= 0 && receipt->age_milliseconds < 1000;
-    if (receipt) self->learn(*receipt, "core");
-    if (receipt && receipt->engines_age_milliseconds >= 0)
-      self->board.engines_confirmed(asked - receipt->engines_age_milliseconds * millisecond);
-    if (useful && self->board.revision() >= receipt->revision)
-      self->fresh.vouched(asked - receipt->age_milliseconds * millisecond);
+    auto result = co_await self->endpoint.call(address, std::move(request), 600 * millisecond);
+    auto* reply = std::get_if<rpc::config_update_reply>(&result);
+    bool useful = reply && reply->age_milliseconds >= 0 && reply->age_milliseconds < 1000;
+    if (reply) self->learn(*reply, "core");
+    if (reply && reply->engines_age_milliseconds >= 0)
+      self->board.engines_confirmed(asked - reply->engines_age_milliseconds * millisecond);
+    if (useful && self->board.revision() >= reply->revision)
+      self->fresh.vouched(asked - reply->age_milliseconds * millisecond);
     // A core that lost touch with its peers is of little use: try the next.
     if (!useful) {
       ++turn;
       co_await self->runtime.sleep(60 * millisecond);
     }
-    self->journal.gauge("herontally_news_age_milliseconds", static_cast<double>(self->age_milliseconds()));
+    self->logger.gauge("herontally_news_age_milliseconds", static_cast<double>(self->age_milliseconds()));
   }
 }
 
@@ -141,31 +141,31 @@
 // Without a core's word the other edges are asked: a majority of them knows every acknowledged change.
 task<> node::state::ask_peers() {
   auto self = shared_from_this();
-  auto ask = [](std::shared_ptr<node::state> here, wire::member peer) -> task<> {
-    wire::news_ask question;
-    question.node = here->place.name;
-    question.revision = here->board.revision();
-    question.engines_epoch = here->board.engines_epoch();
-    question.engines_sequence = here->board.engines_sequence();
+  auto ask = [](std::shared_ptr<node::state> here, rpc::member peer) -> task<> {
+    rpc::config_update_request request;
+    request.node = here->place.name;
+    request.revision = here->board.revision();
+    request.engines_epoch = here->board.engines_epoch();
+    request.engines_sequence = here->board.engines_sequence();
     auto asked = here->runtime.now();
-    auto result = co_await here->port.ask(peer.inner, std::move(question), 500 * millisecond);
-    auto* receipt = std::get_if<wire::news_receipt>(&result);
+    auto result = co_await here->endpoint.call(peer.inner, std::move(request), 500 * millisecond);
+    auto* reply = std::get_if<rpc::config_update_reply>(&result);
     // A peer that was never vouched for in this life says nothing that could be relied on.
-    if (!receipt || receipt->age_milliseconds < 0) co_return;
-    here->learn(*receipt, "agent " + peer.name);
-    if (here->board.revision() < receipt->revision) co_return;
+    if (!reply || reply->age_milliseconds < 0) co_return;
+    here->learn(*reply, "agent " + peer.name);
+    if (here->board.revision() < reply->revision) co_return;
     here->fresh.heard_edge(peer.name, asked);
-    auto heard = nlohmann::json::parse(receipt->heard, nullptr, false);
+    auto heard = nlohmann::json::parse(reply->peer_ages, nullptr, false);
     if (heard.is_object())
       for (auto& [name, age] : heard.items())
         if (age.is_number_integer() && age.get<std::int64_t>() >= 0)
           here->fresh.heard_edge(name, asked - age.get<std::int64_t>() * millisecond);
-    here->fresh.vouched(asked - receipt->age_milliseconds * millisecond);
+    here->fresh.vouched(asked - reply->age_milliseconds * millisecond);
   };
   while (true) {
     if (!self->fresh.settled() || self->runtime.now() - self->fresh.moment() > lonely_after) {
-      std::vector<wire::member> peers;
-      for (auto& peer : self->known.live("hagent")) {
+      std::vector<rpc::member> peers;
+      for (auto& peer : self->known.live(rpc::node_role::agent)) {
         bool listed = std::find(self->edges.begin(), self->edges.end(), peer.name) != self->edges.end();
         // Before any state is known, any peers will do to get one.
         if (peer.name != self->place.name && (listed || self->edges.empty())) peers.push_back(peer);
@@ -180,8 +180,8 @@
   }
 }
 
-static task<> tell_one(wire::port port, std::string address, wire::in_force word) {
-  co_await port.ask(std::move(address), std::move(word), 500 * millisecond);
+static task<> tell_one(rpc::endpoint endpoint, std::string address, rpc::config_applied_request word) {
+  co_await endpoint.call(std::move(address), std::move(word), 500 * millisecond);
 }
 
 task<> node::state::tell_in_force() {
@@ -190,8 +190,9 @@
   if (revision <= self->told_in_force) co_return;
   self->told_in_force = revision;
   self->trace.push_back({revision, "in force", "proxy", self->runtime.wall()});
-  wire::in_force word{self->place.name, revision};
-  for (auto& each : self->known.live("hcore")) self->runtime.spawn(tell_one(self->port, each.inner, word));
+  rpc::config_applied_request word{self->place.name, revision};
+  for (auto& each : self->known.live(rpc::node_role::core))
+    self->runtime.spawn(tell_one(self->endpoint, each.inner, word));
 }
 
 // The proxy's row in the membership tells the others which of its lives goes on: its grants hang on that.
@@ -203,18 +204,19 @@
     if (self->proxy.empty()) continue;
     bool live = self->runtime.now() - self->proxy_seen <= second;
     auto row = self->known.find(self->proxy);
-    bool shown = row && row->incarnation == self->proxy_incarnation && row->status == "alive";
+    bool shown =
+        row && row->incarnation == self->proxy_incarnation && row->status == rpc::member_status::alive;
     if (live == shown) continue;
-    wire::member next;
+    rpc::member next;
     next.name = self->proxy;
-    next.role = "hproxy";
+    next.role = rpc::node_role::proxy;
     next.zone = self->place.zone;
     next.inner = self->place.inner;  // probes of the row reach its agent
     next.http = self->proxy_inner;
     next.incarnation = self->proxy_incarnation;
-    next.status = live ? "alive" : "dead";
-    if (row && row->incarnation == next.incarnation) next.doubt = row->doubt + 1;
-    self->known.hear({next});
+    next.status = live ? rpc::member_status::alive : rpc::member_status::dead;
+    if (row && row->incarnation == next.incarnation) next.refutations = row->refutations + 1;
+    self->known.apply_updates({next});
   }
 }
 
--- a/src/hagent/node.h
+++ b/src/hagent/node.h
@@ -9,7 +9,7 @@
 
 class node {
  public:
-  node(runtime::handle runtime, settings::settings place, logging::journal journal,
+  node(runtime::handle runtime, settings::settings place, logging::logger logger,
        std::shared_ptr<const dialect::dialect> surroundings = nullptr);
   ~node();
   runtime::task<std::optional<std::string>> start();
--- a/src/hagent/node_state.h
+++ b/src/hagent/node_state.h
@@ -3,7 +3,7 @@
 #include "desired/record.h"
 #include "gateway/http.h"
 #include "hagent/node.h"
-#include "members/members.h"
+#include "membership/member_list.h"
 #include "news/board.h"
 
 namespace herontally::hagent {
@@ -20,10 +20,10 @@
 struct node::state : std::enable_shared_from_this<node::state> {
   runtime::handle runtime;
   settings::settings place;
-  logging::journal journal;
+  logging::logger logger;
   std::shared_ptr<const dialect::dialect> surroundings;  // how the platform speaks; nothing: as we do
-  wire::port port;
-  members::members known;
+  rpc::endpoint endpoint;
+  membership::member_list known;
   news::board board;
   news::freshness fresh;
   std::vector<std::string> edges;  // all that the state lists, also while the set changes
@@ -34,21 +34,21 @@
   std::vector<std::string> leaving_engines;  // by our own look at the platform
   bool looked = false;                       // in this life, with or without an answer
   bool list_offered = false;                 // one that waits for our look
-  std::vector<wire::trace_event> trace;
+  std::vector<rpc::trace_event> trace;
 
-  state(runtime::handle handle, settings::settings given, logging::journal lines,
+  state(runtime::handle handle, settings::settings given, logging::logger lines,
         std::shared_ptr<const dialect::dialect> speech);
   std::int64_t age_milliseconds() const;
   std::int64_t in_force() const;
-  void learn(const wire::news_receipt& receipt, const std::string& way);
-  bool may_take_list(const wire::news_receipt& receipt);
+  void learn(const rpc::config_update_reply& reply, const std::string& way);
+  bool may_take_list(const rpc::config_update_reply& reply);
   task<> core_link();
   task<> ask_peers();
   task<> look_at_platform();
   task<> look_at_listing();
   task<> keep_proxy_row();
   task<> tell_in_force();
-  task<wire::news_receipt> answer(wire::news_ask question);
+  task<rpc::config_update_reply> answer(rpc::config_update_request request);
   void serve();
 };
 
--- a/src/hagent/platform.cc
+++ b/src/hagent/platform.cc
@@ -22,10 +22,10 @@
       request.path = "/v1/engines";
       auto result =
           co_await runtime::http_fetch(self->runtime, self->place.platform, request, 500 * millisecond);
-      auto* receipt = std::get_if<runtime::http_receipt>(&result);
-      auto document = receipt && receipt->status == 200 ? json::parse(receipt->body, nullptr, false) : json();
+      auto* reply = std::get_if<runtime::http_response>(&result);
+      auto document = reply && reply->status == 200 ? json::parse(reply->body, nullptr, false) : json();
       bool usable = document.is_object() && document.contains("engines") && document["engines"].is_array();
-      self->journal.count("herontally_platform_looks_total");
+      self->logger.count("herontally_platform_looks_total");
       std::vector<std::string> leaving;
       if (usable)
         for (auto& entry : document["engines"])
@@ -53,7 +53,7 @@
     if (old && of_use && !self->place.platform.empty()) {
       auto found = co_await engine::fetch_listing(self->runtime, self->place.platform, self->surroundings,
                                                   500 * millisecond);
-      self->journal.count("herontally_platform_looks_total");
+      self->logger.count("herontally_platform_looks_total");
       std::vector<std::string> leaving;
       if (found)
         for (auto& each : found->engines)
--- a/src/hcore/bootstrap.cc
+++ b/src/hcore/bootstrap.cc
@@ -3,8 +3,8 @@
 
 namespace herontally::hcore {
 
-static std::vector<reg::voter_place> places_of(const json& list) {
-  std::vector<reg::voter_place> places;
+static std::vector<consensus::voter_info> places_of(const json& list) {
+  std::vector<consensus::voter_info> places;
   for (auto& address : list) places.push_back({"", address.get<std::string>(), "", ""});
   return places;
 }
@@ -36,21 +36,23 @@
       gateway::drop(out, 503, "no member is known at " + place.address, "no", 1);
       co_return;
     }
-    auto begun = co_await reg::begin_group(self->port, group, places, self->runtime.now() + 5 * second);
-    if (auto* why = std::get_if<reg::move_error>(&begun)) {
-      bool there = *why == reg::move_error::already_there || *why == reg::move_error::not_empty;
+    auto begun = co_await reconfiguration::begin_group(self->endpoint, group, places,
+                                                       self->runtime.now() + 5 * second);
+    if (auto* why = std::get_if<reconfiguration::move_error>(&begun)) {
+      bool there = *why == reconfiguration::move_error::already_there ||
+                   *why == reconfiguration::move_error::not_empty;
       gateway::drop(out, there ? 409 : 503,
                     there ? std::string(group) + " has begun already" : "a voter can't be reached", "no",
                     there ? 0 : 1);
       co_return;
     }
-    auto first = std::get<reg::view>(begun);
+    auto first = std::get<consensus::view>(begun);
     (std::string(group) == "core" ? self->catalog : self->stores).learn(first);
     auto lay = [first](const std::optional<std::string>& current) -> std::optional<std::string> {
-      return current ? std::nullopt : std::optional<std::string>(reg::view_text(first));
+      return current ? std::nullopt : std::optional<std::string>(consensus::to_text(first));
     };
-    auto result =
-        co_await self->catalog.change(reg::view_key_of(group), lay, self->runtime.now() + 5 * second, true);
+    auto result = co_await self->catalog.change(reconfiguration::view_register_key(group), lay,
+                                                self->runtime.now() + 5 * second, true);
     if (!result.value) {
       gateway::drop(out, 503, "the first view could not be settled; ask again", "unknown", 1);
       co_return;
--- a/src/hcore/commands.cc
+++ b/src/hcore/commands.cc
@@ -27,9 +27,10 @@
   return out;
 }
 
-static result end_of(reg::change_end end, result verdict) {
-  if (end == reg::change_end::unknown) return result::unclear;
-  if (end == reg::change_end::unreachable || end == reg::change_end::full) return result::unreachable;
+static result end_of(consensus::change_status end, result verdict) {
+  if (end == consensus::change_status::unknown) return result::unclear;
+  if (end == consensus::change_status::unreachable || end == consensus::change_status::disk_full)
+    return result::unreachable;
   return verdict;
 }
 
@@ -48,8 +49,8 @@
   auto changed =
       co_await self->catalog.change(desired::register_key, mutate, self->runtime.now() + command_time, true);
   reply_terms out = *terms;
-  out.end = end_of(changed.end, out.end);
-  if (changed.end != reg::change_end::settled || !changed.value) co_return out;
+  out.end = end_of(changed.status, out.end);
+  if (changed.status != consensus::change_status::committed || !changed.value) co_return out;
   self->learn(*changed.value, "register");
   auto chosen = desired::from_text(*changed.value);
   if (chosen) co_await self->tell_chosen(*chosen);
@@ -93,7 +94,7 @@
     return desired::next_routing(current, next.sent, next.table, digest, writer);
   };
   auto terms = co_await self->command_change(wanted);
-  if (terms.end == result::done) self->journal.info("routing table chosen", {{"version", terms.version}});
+  if (terms.end == result::done) self->logger.info("routing table chosen", {{"version", terms.version}});
   co_return terms;
 }
 
@@ -102,7 +103,7 @@
   auto read = co_await self->catalog.read(desired::register_key, self->runtime.now() + command_time);
   reply_terms terms;
   // Reading writes nothing of its own, so that an unfinished one is only out of reach.
-  bool known = read.end == reg::change_end::settled || read.end == reg::change_end::declined;
+  bool known = read.known();
   auto content = known && read.value ? desired::from_text(*read.value) : std::nullopt;
   terms.end = !known                              ? result::unreachable
               : content && !content->sent.empty() ? result::done
@@ -133,7 +134,7 @@
   };
   auto terms = co_await self->command_change(wanted);
   if (terms.end == result::done && *moved)
-    self->journal.info(asked.begin ? "evacuation begun" : "evacuation ended", {{"zone", asked.zone}});
+    self->logger.info(asked.begin ? "evacuation begun" : "evacuation ended", {{"zone", asked.zone}});
   co_return terms;
 }
 
@@ -145,7 +146,8 @@
 task<reply_terms> node::state::retire(dialect::retire_command asked, caller_check abandoned) {
   auto self = shared_from_this();
   reply_terms out;
-  auto agreed = co_await reg::agreed_view(self->catalog, "store", self->runtime.now() + command_time / 2);
+  auto agreed =
+      co_await reconfiguration::agreed_view(self->catalog, "store", self->runtime.now() + command_time / 2);
   if (!agreed) {
     out.end = result::unreachable;
     co_return out;
@@ -158,9 +160,9 @@
   }
   std::set<std::string> names = listed->known, live = listed->live;
   for (auto& each : self->known.all())
-    if (each.role == "hstore") names.insert(each.name);
-  for (auto& each : self->known.live("hstore")) live.insert(each.name);
-  for (auto& voter : agreed->all()) names.insert(voter.node);
+    if (each.role == rpc::node_role::store) names.insert(each.name);
+  for (auto& each : self->known.live(rpc::node_role::store)) live.insert(each.name);
+  for (auto& voter : agreed->all_voters()) names.insert(voter.node);
   std::string writer = self->place.name + "-" + self->runtime.random_name();
   auto up = self->runtime.now() - self->began;
   auto copies = agreed->voters.size();
@@ -198,18 +200,18 @@
   out.end = result::unreachable;
   auto deadline = self->runtime.now() + command_time;
   auto read = co_await self->catalog.read(desired::register_key, deadline);
-  if (read.end != reg::change_end::settled && read.end != reg::change_end::declined) co_return out;
+  if (!read.known()) co_return out;
   // Read after the wish: a view from before it could miss a move that has begun since.
-  auto agreed = co_await reg::agreed_view(self->catalog, "store", deadline);
+  auto agreed = co_await reconfiguration::agreed_view(self->catalog, "store", deadline);
   if (!agreed) co_return out;
   auto content = read.value ? desired::from_text(*read.value) : std::nullopt;
   json shared = content ? content->document.value("shared", json::object()) : json::object();
   bool retiring = shared.value("retiring_storage", std::set<std::string>()).count(asked.node) > 0;
   bool holds = false;
-  for (auto& voter : agreed->all()) holds = holds || voter.node == asked.node;
+  for (auto& voter : agreed->all_voters()) holds = holds || voter.node == asked.node;
   auto row = self->known.find(asked.node);
-  bool named = retiring || holds || (row && row->role == "hstore");
-  bool empty = retiring && !holds && agreed->before.empty();
+  bool named = retiring || holds || (row && row->role == rpc::node_role::store);
+  bool empty = retiring && !holds && agreed->previous_voters.empty();
   out.end = empty ? result::done : named ? result::rolling : missing(self->runtime.now() - self->began);
   co_return out;
 }
@@ -233,7 +235,7 @@
   auto self = shared_from_this();
   auto asked = self->surroundings->read_command(request);
   auto terms = co_await self->execute(asked, self->caller_gone(out));
-  self->journal.count("herontally_commands_total");
+  self->logger.count("herontally_commands_total");
   out->reply(self->surroundings->write_reply(asked, terms));
 }
 
--- a/src/hcore/desired_change.cc
+++ b/src/hcore/desired_change.cc
@@ -33,14 +33,14 @@
   co_return true;
 }
 
-static task<> tell_one(wire::port port, std::string address, wire::chosen word) {
-  co_await port.ask(std::move(address), std::move(word), 500 * millisecond);
+static task<> tell_one(rpc::endpoint endpoint, std::string address, rpc::config_committed_request word) {
+  co_await endpoint.call(std::move(address), std::move(word), 500 * millisecond);
 }
 
 task<> node::state::tell_chosen(desired::record content) {
-  wire::chosen word{content.revision, desired::to_text(desired::for_news(content))};
-  for (auto& each : known.live("hcore"))
-    if (each.name != place.name) runtime.spawn(tell_one(port, each.inner, word));
+  rpc::config_committed_request word{content.revision, desired::to_text(desired::for_news(content))};
+  for (auto& each : known.live(rpc::node_role::core))
+    if (each.name != place.name) runtime.spawn(tell_one(endpoint, each.inner, word));
   co_return;
 }
 
@@ -72,12 +72,13 @@
   };
   auto result = co_await self->catalog.change(desired::register_key, mutate, asked + 2500 * millisecond);
   change_report out = *report;
-  if (result.end == reg::change_end::declined && !*applied) co_return out;
-  if (result.end == reg::change_end::unreachable || result.end == reg::change_end::full) {
+  if (result.status == consensus::change_status::declined && !*applied) co_return out;
+  if (result.status == consensus::change_status::unreachable ||
+      result.status == consensus::change_status::disk_full) {
     out.end = change_report::ending::unreachable;
     co_return out;
   }
-  if (result.end == reg::change_end::unknown || !result.value) {
+  if (result.status == consensus::change_status::unknown || !result.value) {
     out.end = change_report::ending::unknown;
     co_return out;
   }
@@ -85,7 +86,7 @@
   out.now = chosen ? *chosen : out.now;
   self->note(out.now.revision, "chosen", "register");
   self->learn(*result.value, "register");
-  self->journal.info("desired state chosen", {{"revision", out.now.revision}, {"version", out.now.version}});
+  self->logger.info("desired state chosen", {{"revision", out.now.revision}, {"version", out.now.version}});
   co_await self->tell_chosen(out.now);
   bool forced = co_await self->await_force(out.now, asked + 3 * second);
   out.end = forced ? change_report::ending::in_force : change_report::ending::chosen;
@@ -116,13 +117,14 @@
     desired::record content = now ? *now : desired::empty_record();
     std::vector<std::string> wanted;
     for (auto& each : self->known.all()) {
-      if (each.role != "hagent") continue;
-      bool live = each.status == "alive" || each.status == "suspect";
+      if (each.role != rpc::node_role::agent) continue;
+      bool live = each.status == rpc::member_status::alive || each.status == rpc::member_status::suspect;
       auto& since = self->gone_since[each.name];
       if (live) since = 0;
       if (!live && since == 0) since = self->runtime.now();
       bool listed = std::find(content.edges.begin(), content.edges.end(), each.name) != content.edges.end();
-      bool long_gone = !live && (each.status == "left" || self->runtime.now() - since > 30 * second);
+      bool long_gone =
+          !live && (each.status == rpc::member_status::left || self->runtime.now() - since > 30 * second);
       if ((listed && !long_gone) || (!listed && live)) wanted.push_back(each.name);
     }
     for (auto& name : content.edges)
--- a/src/hcore/founding.cc
+++ b/src/hcore/founding.cc
@@ -7,12 +7,12 @@
 
 // The seeds as voters. Nothing until the membership knows them all: a first view must be the same whoever
 // writes it, so that it holds nothing but what every founder is certain to see alike.
-std::optional<std::vector<reg::voter_place>> node::state::founders() const {
-  std::vector<reg::voter_place> places;
+std::optional<std::vector<consensus::voter_info>> node::state::founders() const {
+  std::vector<consensus::voter_info> places;
   for (auto& address : place.seeds) {
-    reg::voter_place founder{"", address, "", ""};
+    consensus::voter_info founder{"", address, "", ""};
     for (auto& each : known.all())
-      if (each.role == "hcore" && each.inner == address) {
+      if (each.role == rpc::node_role::core && each.inner == address) {
         founder.node = each.name;
         founder.zone = each.zone;
       }
@@ -35,17 +35,18 @@
   if (!self->place.founding || position == self->place.seeds.end()) co_return;
   auto turn = (position - self->place.seeds.begin()) * 2 * second;
   microseconds complete = -1;
-  while (self->voter.current().number == 0) {
+  while (self->voter.current_view().number == 0) {
     co_await self->runtime.sleep(100 * millisecond);
     auto places = self->founders();
     if (!places) continue;
     if (complete < 0) complete = self->runtime.now();
-    if (self->runtime.now() - complete < turn || self->voter.current().number > 0) continue;
-    auto begun = co_await reg::begin_group(self->port, "core", *places, self->runtime.now() + 3 * second);
-    if (auto* first = std::get_if<reg::view>(&begun)) {
+    if (self->runtime.now() - complete < turn || self->voter.current_view().number > 0) continue;
+    auto begun = co_await reconfiguration::begin_group(self->endpoint, "core", *places,
+                                                       self->runtime.now() + 3 * second);
+    if (auto* first = std::get_if<consensus::view>(&begun)) {
       self->catalog.learn(*first);
-      self->journal.info("core group founded", {{"voters", first->voters.size()}});
-    } else if (std::get<reg::move_error>(begun) != reg::move_error::unreachable) {
+      self->logger.info("core group founded", {{"voters", first->voters.size()}});
+    } else if (std::get<reconfiguration::move_error>(begun) != reconfiguration::move_error::unreachable) {
       // Others have a view that isn't ours: this core is let in like any newcomer.
       co_await self->runtime.sleep(2 * second);
     }
@@ -56,39 +57,40 @@
 // move can have been made, so that the installed one is the first and the only one.
 task<> node::state::write_core_view() {
   auto self = shared_from_this();
-  auto first = self->catalog.current();
+  auto first = self->catalog.current_view();
   // Moves begin from a written view only.
   if (first.number > 1) self->core_written = true;
   if (first.number != 1) co_return;
   auto lay = [first](const std::optional<std::string>& current) -> std::optional<std::string> {
-    return current ? std::nullopt : std::optional<std::string>(reg::view_text(first));
+    return current ? std::nullopt : std::optional<std::string>(consensus::to_text(first));
   };
-  auto written =
-      co_await self->catalog.change(reg::view_key_of("core"), lay, self->runtime.now() + second, true);
+  auto written = co_await self->catalog.change(reconfiguration::view_register_key("core"), lay,
+                                               self->runtime.now() + second, true);
   self->core_written = written.value.has_value();
 }
 
 // Live storage machines, identified once each is empty. Nothing: one of them can't found a group now.
-task<std::vector<reg::voter_place>> node::state::identify_founders(std::vector<reg::voter_place> places) {
+task<std::vector<consensus::voter_info>> node::state::identify_founders(
+    std::vector<consensus::voter_info> places) {
   auto self = shared_from_this();
-  std::vector<reg::voter_place> none;
+  std::vector<consensus::voter_info> none;
   for (auto& place : places) {
-    wire::identify_ask question{"store"};
-    auto result = co_await self->port.ask(place.address, std::move(question), 500 * millisecond);
-    auto* receipt = std::get_if<wire::identify_receipt>(&result);
-    if (!receipt || receipt->voter.empty() || !receipt->empty || !receipt->view.empty()) co_return none;
-    place.id = receipt->voter;
+    rpc::identify_request request{"store"};
+    auto result = co_await self->endpoint.call(place.address, std::move(request), 500 * millisecond);
+    auto* reply = std::get_if<rpc::identify_reply>(&result);
+    if (!reply || reply->voter.empty() || !reply->empty || !reply->view.empty()) co_return none;
+    place.id = reply->voter;
   }
   co_return places;
 }
 
 // Empty storage machines for the first view: as many as the losses ask for, spread over zones, or what there
 // is of them after a while. The group grows later on, but one copy alone bears nothing until then.
-task<std::vector<reg::voter_place>> node::state::storage_founders() {
+task<std::vector<consensus::voter_info>> node::state::storage_founders() {
   auto self = shared_from_this();
-  std::vector<reg::voter_place> machines, none;
-  for (auto& each : self->known.live("hstore")) {
-    if (each.status != "alive") continue;
+  std::vector<consensus::voter_info> machines, none;
+  for (auto& each : self->known.live(rpc::node_role::store)) {
+    if (each.status != rpc::member_status::alive) continue;
     machines.push_back({unidentified_prefix + each.name, each.inner, each.name, each.zone});
   }
   if (machines.size() != self->storage_seen) {
@@ -96,7 +98,7 @@
     self->storage_changed = self->runtime.now();
   }
   std::vector<voter_observation> nobody;
-  auto founders = plan_voters(reg::view{}, nobody, machines, self->budget());
+  auto founders = plan_voters(consensus::view{}, nobody, machines, self->budget());
   bool complete = shortfall_of(founders, self->budget()) == voter_shortfall{};
   auto settle_time = complete ? 500 * millisecond : founders.size() >= 3 ? 2 * second : 6 * second;
   if (machines.empty() || self->runtime.now() - self->storage_changed < settle_time) co_return none;
@@ -109,30 +111,30 @@
 // Installing first could lay two views over overlapping machines.
 task<bool> node::state::found_stores() {
   auto self = shared_from_this();
-  auto key = reg::view_key_of("store");
+  auto key = reconfiguration::view_register_key("store");
   auto read = co_await self->catalog.read(key, self->runtime.now() + second);
-  if (read.end != reg::change_end::settled && read.end != reg::change_end::declined) co_return false;
+  if (!read.known()) co_return false;
   auto text = read.value;
   if (!text) {
     auto voters = co_await self->storage_founders();
     if (voters.empty()) co_return false;
-    reg::view first;
+    consensus::view first;
     first.group = "store";
     first.number = 1;
     first.voters = voters;
     auto lay = [first](const std::optional<std::string>& current) -> std::optional<std::string> {
-      return current ? std::nullopt : std::optional<std::string>(reg::view_text(first));
+      return current ? std::nullopt : std::optional<std::string>(consensus::to_text(first));
     };
     auto written = co_await self->catalog.change(key, lay, self->runtime.now() + 2 * second, true);
     if (!written.value) co_return false;
     text = written.value;
-    self->journal.info("storage group founded", {{"voters", voters.size()}});
+    self->logger.info("storage group founded", {{"voters", voters.size()}});
   }
-  auto agreed = reg::view_from(*text);
+  auto agreed = consensus::view_from_text(*text);
   // Later views are installed by whoever moves them.
   bool installed = agreed.number > 1;
   if (!installed)
-    installed = co_await reg::install_chosen(self->stores, agreed, self->runtime.now() + second);
+    installed = co_await reconfiguration::install_chosen(self->stores, agreed, self->runtime.now() + second);
   self->stores.learn(agreed);
   co_return installed;
 }
--- a/src/hcore/node.h
+++ b/src/hcore/node.h
@@ -10,7 +10,7 @@
 class node {
  public:
   // With a dialect the operators' calls are served on `control` as well, and the platform speaks it.
-  node(runtime::handle runtime, settings::settings place, logging::journal journal,
+  node(runtime::handle runtime, settings::settings place, logging::logger logger,
        std::shared_ptr<const dialect::dialect> surroundings = nullptr);
   ~node();
   // Reads the disk and begins; the result tells what stands in the way.
--- a/src/hcore/node_state.h
+++ b/src/hcore/node_state.h
@@ -6,10 +6,10 @@
 #include "gateway/http.h"
 #include "hcore/node.h"
 #include "hcore/voter_plan.h"
-#include "members/members.h"
+#include "membership/member_list.h"
 #include "news/board.h"
-#include "register/view_install.h"
-#include "register/voter.h"
+#include "reconfiguration/view_install.h"
+#include "replication/voter.h"
 
 namespace herontally::hcore {
 
@@ -56,12 +56,12 @@
 struct node::state : std::enable_shared_from_this<node::state> {
   runtime::handle runtime;
   settings::settings place;
-  logging::journal journal;
+  logging::logger logger;
   std::shared_ptr<const dialect::dialect> surroundings;  // how the platform speaks; nothing: as we do
-  wire::port port;
-  members::members known;
-  reg::voter voter;
-  reg::proposer catalog, stores;
+  rpc::endpoint endpoint;
+  membership::member_list known;
+  replication::voter voter;
+  consensus::proposer catalog, stores;
   news::board board;
   duty::duty platform_duty, voters_duty, calendar_duty;
   duty::gate gate;
@@ -74,7 +74,7 @@
   std::map<std::string, voter_shortfall> shortfalls;  // last reported, by group
   std::int64_t joint_revision = 0;  // the change of edges that was seen widely in force, and since when
   microseconds joint_since = 0;
-  std::vector<wire::trace_event> trace;
+  std::vector<rpc::trace_event> trace;
   std::vector<runtime::slot<bool>> force_waits;
   std::string last_engines;
   std::int64_t engines_sequence = 0;
@@ -84,7 +84,7 @@
   std::size_t storage_seen = 0;
   bool core_written = false, stores_founded = false;
 
-  state(runtime::handle handle, settings::settings given, logging::journal lines,
+  state(runtime::handle handle, settings::settings given, logging::logger lines,
         std::shared_ptr<const dialect::dialect> speech);
   std::optional<desired::record> current() const;
   void note(std::int64_t revision, const std::string& what, const std::string& way);
@@ -100,12 +100,12 @@
   task<> poll_platform();
   task<> poll_listing();
   task<> push_engines(std::string text);
-  task<> push_one(wire::member receiver, list_version version, std::string text);
+  task<> push_one(rpc::member receiver, list_version version, std::string text);
   task<> found_core();
   task<> write_core_view();
-  std::optional<std::vector<reg::voter_place>> founders() const;
-  task<std::vector<reg::voter_place>> storage_founders();
-  task<std::vector<reg::voter_place>> identify_founders(std::vector<reg::voter_place> places);
+  std::optional<std::vector<consensus::voter_info>> founders() const;
+  task<std::vector<consensus::voter_info>> storage_founders();
+  task<std::vector<consensus::voter_info>> identify_founders(std::vector<consensus::voter_info> places);
   task<bool> found_stores();
   task<> finish_founding();
   task<> control_request(runtime::inbound_request request, gateway::writer out);
@@ -123,18 +123,19 @@
   task<dialect::reply_terms> retire(dialect::retire_command asked, caller_check abandoned);
   task<dialect::reply_terms> retire_status(dialect::retire_status_command asked);
   loss_budget budget() const;
-  task<voter_observation> observe_voter(reg::voter_place place, std::string group, bool retiring);
-  task<std::vector<voter_observation>> observe_voters(reg::view agreed, std::string role);
-  std::vector<reg::voter_place> possible_spares(const std::vector<voter_observation>& observed,
-                                                const std::string& role) const;
-  task<bool> identify_chosen(reg::proposer group, std::vector<reg::voter_place>* wanted,
-                             std::vector<reg::voter_place>* spares, reg::view agreed);
-  task<std::optional<std::vector<reg::voter_place>>> plan_group(reg::proposer group, reg::view agreed,
-                                                                std::string role);
-  task<> dismiss(reg::proposer group, reg::voter_place place, reg::view agreed);
-  void report_shortfall(const reg::view& agreed);
-  task<> review_group(reg::proposer group, std::string name, std::string role);
-  task<> keep_group(reg::proposer group, std::string name, std::string role);
+  task<voter_observation> observe_voter(consensus::voter_info place, std::string group, bool retiring);
+  task<std::vector<voter_observation>> observe_voters(consensus::view agreed, rpc::node_role role);
+  std::vector<consensus::voter_info> possible_spares(const std::vector<voter_observation>& observed,
+                                                     rpc::node_role role) const;
+  task<bool> identify_chosen(consensus::proposer group, std::vector<consensus::voter_info>* wanted,
+                             std::vector<consensus::voter_info>* spares, consensus::view agreed);
+  task<std::optional<std::vector<consensus::voter_info>>> plan_group(consensus::proposer group,
+                                                                     consensus::view agreed,
+                                                                     rpc::node_role role);
+  task<> dismiss(consensus::proposer group, consensus::voter_info place, consensus::view agreed);
+  void report_shortfall(const consensus::view& agreed);
+  task<> review_group(consensus::proposer group, std::string name, rpc::node_role role);
+  task<> keep_group(consensus::proposer group, std::string name, rpc::node_role role);
   task<> keep_founding();
   task<> keep_calendars();
   void serve_inner();
--- a/src/hcore/operations.cc
+++ b/src/hcore/operations.cc
@@ -15,7 +15,9 @@
   std::map<std::string, bool> storage;  // by name: can it keep copies now
   for (auto& each : known.all()) {
     zones.insert(each.zone);
-    if (each.role == "hstore") storage[each.name] = each.status == "alive" || each.status == "suspect";
+    if (each.role == rpc::node_role::store)
+      storage[each.name] =
+          each.status == rpc::member_status::alive || each.status == rpc::member_status::suspect;
   }
   auto engines = json::parse(board.engines_text(), nullptr, false);
   if (engines.is_array())
@@ -39,9 +41,9 @@
     if (went.count(node)) continue;
     if (!storage.count(node))
       faults.push_back({"/shared/retiring_storage", "no storage machine is named " + node});
-    else if (left < stores.current().voters.size())
+    else if (left < stores.current_view().voters.size())
       faults.push_back({"/shared/retiring_storage", "too few storage machines would be left for " +
-                                                        std::to_string(stores.current().voters.size()) +
+                                                        std::to_string(stores.current_view().voters.size()) +
                                                         " copies; start a spare first"});
   }
   return faults;
@@ -114,14 +116,14 @@
     self->report(out, result);
     co_return;
   }
-  auto agreed = co_await reg::agreed_view(self->catalog, "store", self->runtime.now() + second);
+  auto agreed = co_await reconfiguration::agreed_view(self->catalog, "store", self->runtime.now() + second);
   auto content = self->current();
   if (!agreed || !content) {
     gateway::drop(out, 503, "the storage view can't be read now", "no", 1);
     co_return;
   }
-  bool holds = false, moving = !agreed->before.empty();
-  for (auto& voter : agreed->all()) holds = holds || voter.node == node;
+  bool holds = false, moving = !agreed->previous_voters.empty();
+  for (auto& voter : agreed->all_voters()) holds = holds || voter.node == node;
   bool retiring = desired::state_of(*content).retiring_storage.count(node) > 0;
   json body{{"node", node},
             {"retiring", retiring},
--- a/src/hcore/operators.cc
+++ b/src/hcore/operators.cc
@@ -58,7 +58,7 @@
   }
   if (request.method == "GET") {
     auto result = co_await self->catalog.read(desired::register_key, self->runtime.now() + second);
-    if (result.end != reg::change_end::settled && result.end != reg::change_end::declined) {
+    if (!result.known()) {
       gateway::drop(out, 503, "no majority of the core can be reached", "no", 1);
       co_return;
     }
@@ -111,7 +111,7 @@
 
 task<> node::state::serve_request(runtime::inbound_request request, gateway::writer out) {
   auto self = shared_from_this();
-  if (gateway::common_pages(request, out, self->journal, self->ready && !self->leaving)) co_return;
+  if (gateway::common_pages(request, out, self->logger, self->ready && !self->leaving)) co_return;
   auto parts = gateway::split_path(request.path);
   if (request.path == "/v1/desired") {
     co_await self->desired_request(std::move(request), out);
--- a/src/hcore/order_fence.cc
+++ b/src/hcore/order_fence.cc
@@ -32,8 +32,8 @@
     auto now = self->runtime.now();
     if (now - self->last_heartbeat > longest_standstill) {
       self->standstill_ended = now;
-      self->journal.warn("this process stood still",
-                         {{"milliseconds", (now - self->last_heartbeat) / millisecond}});
+      self->logger.warn("this process stood still",
+                        {{"milliseconds", (now - self->last_heartbeat) / millisecond}});
     }
     self->last_heartbeat = now;
   }
--- a/src/hcore/platform.cc
+++ b/src/hcore/platform.cc
@@ -6,16 +6,17 @@
 namespace herontally::hcore {
 
 // A core that took this list in this life of it is told only that the list still holds.
-task<> node::state::push_one(wire::member receiver, list_version version, std::string text) {
+task<> node::state::push_one(rpc::member receiver, list_version version, std::string text) {
   auto self = shared_from_this();
   auto life = receiver.name + "/" + std::to_string(receiver.incarnation);
   auto told = self->lists_told.find(life);
   if (told != self->lists_told.end() && told->second == version) text.clear();
-  wire::engines_push word{version.first, version.second, std::move(text)};
-  auto result = co_await self->port.ask(std::move(receiver.inner), std::move(word), push_timeout);
-  auto* receipt = std::get_if<wire::engines_push_receipt>(&result);
-  if (receipt && receipt->verdict == "behind") self->platform_duty.superseded(receipt->epoch);
-  if (receipt && receipt->verdict == "yes")
+  rpc::engine_list_request word{version.first, version.second, std::move(text)};
+  auto result = co_await self->endpoint.call(std::move(receiver.inner), std::move(word), push_timeout);
+  auto* reply = std::get_if<rpc::engine_list_reply>(&result);
+  if (reply && reply->status == rpc::reply_status::ballot_outdated)
+    self->platform_duty.superseded(reply->epoch);
+  if (reply && reply->status == rpc::reply_status::ok)
     self->lists_told[life] = version;
   else
     self->lists_told.erase(life);
@@ -28,7 +29,7 @@
   list_version version{platform_duty.epoch(), engines_sequence};
   // The lives of cores that are long gone need no place.
   if (lists_told.size() > 64) lists_told.clear();
-  for (auto& each : known.live("hcore")) runtime.spawn(push_one(each, version, text));
+  for (auto& each : known.live(rpc::node_role::core)) runtime.spawn(push_one(each, version, text));
   co_return;
 }
 
@@ -43,11 +44,11 @@
     request.path = "/v1/engines";
     auto result =
         co_await runtime::http_fetch(self->runtime, self->place.platform, request, 800 * millisecond);
-    auto* receipt = std::get_if<runtime::http_receipt>(&result);
+    auto* reply = std::get_if<runtime::http_response>(&result);
     // A platform that is silent or out of order has said nothing: the last list stays.
-    auto document = receipt && receipt->status == 200 ? json::parse(receipt->body, nullptr, false) : json();
+    auto document = reply && reply->status == 200 ? json::parse(reply->body, nullptr, false) : json();
     if (!document.is_object() || !document.contains("engines") || !document["engines"].is_array()) {
-      self->journal.count("herontally_platform_silent_total");
+      self->logger.count("herontally_platform_silent_total");
       continue;
     }
     std::string text = document["engines"].dump();
@@ -63,10 +64,10 @@
       bool leaving = entry.is_object() && entry.value("state", "running") != "running";
       std::string name = leaving ? entry.value("name", "") : "";
       if (leaving && self->last_engines.find(entry.dump()) == std::string::npos)
-        self->journal.info("engine leaves", {{"engine", name}, {"says", "platform"}});
+        self->logger.info("engine leaves", {{"engine", name}, {"says", "platform"}});
     }
     if (text != self->last_engines)
-      self->journal.info("engine list changed", {{"engines", document["engines"].size()}, {"epoch", epoch}});
+      self->logger.info("engine list changed", {{"engines", document["engines"].size()}, {"epoch", epoch}});
     pushed = self->runtime.now();
     co_await self->push_engines(text);
   }
@@ -96,7 +97,7 @@
                                                 800 * millisecond);
     // A platform that is silent, out of order or asked too often has said nothing: the last list stays.
     if (!found) {
-      self->journal.count("herontally_platform_silent_total");
+      self->logger.count("herontally_platform_silent_total");
       continue;
     }
     // Another core has the duty by now, or has handed on a list while this one was being read: its word goes.
@@ -114,9 +115,9 @@
     std::string text = engine::listing_text(found->engines);
     for (auto& each : found->engines)
       if (each.draining && self->last_engines.find(nlohmann::json(each).dump()) == std::string::npos)
-        self->journal.info("engine leaves", {{"engine", each.id}, {"says", "platform"}});
+        self->logger.info("engine leaves", {{"engine", each.id}, {"says", "platform"}});
     if (text != self->board.engines_text())
-      self->journal.info("engine list changed", {{"engines", found->engines.size()}, {"epoch", epoch}});
+      self->logger.info("engine list changed", {{"engines", found->engines.size()}, {"epoch", epoch}});
     co_await self->push_engines(text);
   }
 }
@@ -158,10 +159,10 @@
       };
       auto result =
           co_await self->catalog.change(desired::register_key, mutate, self->runtime.now() + 2 * second);
-      if (result.end != reg::change_end::settled || !result.value) continue;
+      if (result.status != consensus::change_status::committed || !result.value) continue;
       self->learn(*result.value, "calendar");
-      self->journal.info("calendar switched a table",
-                         {{"calendar", name}, {"partner", partner}, {"epoch", epoch}});
+      self->logger.info("calendar switched a table",
+                        {{"calendar", name}, {"partner", partner}, {"epoch", epoch}});
       auto content = desired::from_text(*result.value);
       if (content) co_await self->tell_chosen(*content);
     }
--- a/src/hcore/storage_list.cc
+++ b/src/hcore/storage_list.cc
@@ -6,11 +6,11 @@
 
 constexpr const char* storage_list_key = "members/storage";
 
-static storage_list storage_list_of(const members::members& known) {
+static storage_list storage_list_of(const membership::member_list& known) {
   storage_list list;
   for (auto& row : known.all())
-    if (row.role == "hstore") list.known.insert(row.name);
-  for (auto& row : known.live("hstore")) list.live.insert(row.name);
+    if (row.role == rpc::node_role::store) list.known.insert(row.name);
+  for (auto& row : known.live(rpc::node_role::store)) list.live.insert(row.name);
   return list;
 }
 
@@ -28,14 +28,14 @@
     return current == text ? std::nullopt : std::optional<std::string>(text);
   };
   auto written = co_await self->catalog.change(storage_list_key, write, self->runtime.now() + second, true);
-  bool settled = written.end == reg::change_end::settled || written.end == reg::change_end::declined;
+  bool settled = written.known();
   if (settled) self->storage_published = list;
 }
 
 task<std::optional<storage_list>> node::state::agreed_storage(microseconds deadline) {
   auto self = shared_from_this();
   auto read = co_await self->catalog.read(storage_list_key, deadline);
-  bool known = read.end == reg::change_end::settled || read.end == reg::change_end::declined;
+  bool known = read.known();
   if (!known) co_return std::nullopt;
   auto document = read.value ? json::parse(*read.value, nullptr, false) : json();
   if (!document.is_object()) co_return storage_list{};
--- a/src/hcore/voter_plan.cc
+++ b/src/hcore/voter_plan.cc
@@ -5,8 +5,8 @@
 
 namespace herontally::hcore {
 
-using reg::view;
-using reg::voter_place;
+using consensus::view;
+using consensus::voter_info;
 
 namespace {
 
@@ -15,12 +15,12 @@
  public:
   selection(std::size_t size, std::size_t limit) : size_(size), limit_(limit) {}
 
-  void add_within_limit(const std::vector<voter_place>& candidates) { add(candidates, limit_); }
-  void add_regardless(const std::vector<voter_place>& candidates) { add(candidates, size_); }
-  std::vector<voter_place> take() { return std::move(selected_); }
+  void add_within_limit(const std::vector<voter_info>& candidates) { add(candidates, limit_); }
+  void add_regardless(const std::vector<voter_info>& candidates) { add(candidates, size_); }
+  std::vector<voter_info> take() { return std::move(selected_); }
 
  private:
-  void add(const std::vector<voter_place>& candidates, std::size_t limit) {
+  void add(const std::vector<voter_info>& candidates, std::size_t limit) {
     while (selected_.size() < size_) {
       auto* next = least_crowded(candidates, limit);
       if (!next) return;
@@ -28,33 +28,33 @@
       selected_.push_back(*next);
     }
   }
-  const voter_place* least_crowded(const std::vector<voter_place>& candidates, std::size_t limit) {
-    const voter_place* best = nullptr;
+  const voter_info* least_crowded(const std::vector<voter_info>& candidates, std::size_t limit) {
+    const voter_info* best = nullptr;
     for (auto& place : candidates) {
-      if (view::contains(selected_, place.id) || in_zone_[place.zone] >= limit) continue;
+      if (consensus::contains(selected_, place.id) || in_zone_[place.zone] >= limit) continue;
       if (!best || in_zone_[place.zone] < in_zone_[best->zone]) best = &place;
     }
     return best;
   }
 
   std::size_t size_, limit_;
-  std::vector<voter_place> selected_;
+  std::vector<voter_info> selected_;
   std::map<std::string, std::size_t> in_zone_;
 };
 
 // The voters of a group by how much they are wanted.
 struct voter_classes {
-  std::vector<voter_place> staying;   // present voters of the newest set
-  std::vector<voter_place> leaving;   // present ones that a joint view would leave out
-  std::vector<voter_place> retiring;  // present, but to be emptied
-  std::vector<voter_place> lost;      // gone; their disks may come back with what they held
+  std::vector<voter_info> staying;   // present voters of the newest set
+  std::vector<voter_info> leaving;   // present ones that a joint view would leave out
+  std::vector<voter_info> retiring;  // present, but to be emptied
+  std::vector<voter_info> lost;      // gone; their disks may come back with what they held
 };
 
 voter_classes classify(const view& agreed, const std::vector<voter_observation>& observed) {
   voter_classes classes;
   for (auto& each : observed) {
-    bool newest = view::contains(agreed.voters, each.place.id);
-    bool holds_records = !agreed.joint() || view::contains(agreed.before, each.place.id);
+    bool newest = consensus::contains(agreed.voters, each.place.id);
+    bool holds_records = !agreed.joint() || consensus::contains(agreed.previous_voters, each.place.id);
     if (each.condition == voter_condition::lost) {
       if (holds_records) classes.lost.push_back(each.place);
     } else if (each.retiring) {
@@ -76,10 +76,10 @@
   return std::max<std::size_t>(1, (size - 1) / 2 / static_cast<std::size_t>(budget.zones));
 }
 
-std::vector<voter_place> plan_voters(const view& agreed, const std::vector<voter_observation>& observed,
-                                     const std::vector<voter_place>& spares, const loss_budget& budget) {
+std::vector<voter_info> plan_voters(const view& agreed, const std::vector<voter_observation>& observed,
+                                    const std::vector<voter_info>& spares, const loss_budget& budget) {
   auto classes = classify(agreed, observed);
-  auto& before = agreed.joint() ? agreed.before : agreed.voters;
+  auto& before = agreed.joint() ? agreed.previous_voters : agreed.voters;
   std::size_t usable = classes.staying.size() + classes.leaving.size() + spares.size();
   std::size_t size = std::min(budget.voters(), std::max(odd_floor(usable), before.size()));
   selection chosen(size, zone_limit(size, budget));
@@ -94,7 +94,7 @@
   return chosen.take();
 }
 
-voter_shortfall shortfall_of(const std::vector<voter_place>& voters, const loss_budget& budget) {
+voter_shortfall shortfall_of(const std::vector<voter_info>& voters, const loss_budget& budget) {
   voter_shortfall found;
   if (voters.size() < budget.voters()) found.voters = budget.voters() - voters.size();
   std::map<std::string, std::size_t> in_zone;
--- a/src/hcore/voter_plan.h
+++ b/src/hcore/voter_plan.h
@@ -1,6 +1,6 @@
 // Which machines should vote in a register group: a plan made from what is known, without any I/O.
 #pragma once
-#include "register/view.h"
+#include "consensus/view.h"
 
 namespace herontally::hcore {
 
@@ -18,7 +18,7 @@
 };
 
 struct voter_observation {
-  reg::voter_place place;
+  consensus::voter_info place;
   voter_condition condition = voter_condition::present;
   bool retiring = false;
   bool answered = false;  // just now, under whatever identity
@@ -29,10 +29,10 @@
 // its loss would take the majority, where machines of other zones allow it. A group of which too little is
 // left keeps its lost voters, since their disks may come back. `observed` has all voters of `agreed`, also
 // those before a joint view; an `agreed` without voters plans a group's first view.
-std::vector<reg::voter_place> plan_voters(const reg::view& agreed,
-                                          const std::vector<voter_observation>& observed,
-                                          const std::vector<reg::voter_place>& spares,
-                                          const loss_budget& budget);
+std::vector<consensus::voter_info> plan_voters(const consensus::view& agreed,
+                                               const std::vector<voter_observation>& observed,
+                                               const std::vector<consensus::voter_info>& spares,
+                                               const loss_budget& budget);
 
 // The most voters of one zone with which the loss of a zone leaves a majority of `size` voters.
 std::size_t zone_limit(std::size_t size, const loss_budget& budget);
@@ -42,6 +42,6 @@
   std::size_t voters = 0, crowded = 0;
   bool operator==(const voter_shortfall&) const = default;
 };
-voter_shortfall shortfall_of(const std::vector<reg::voter_place>& voters, const loss_budget& budget);
+voter_shortfall shortfall_of(const std::vector<consensus::voter_info>& voters, const loss_budget& budget);
 
 }  // namespace herontally::hcore
--- a/src/hctl/commands.cc
+++ b/src/hctl/commands.cc
@@ -61,9 +61,9 @@
     if (!body.empty()) request.headers["Content-Type"] = "application/json";
     auto wait = static_cast<runtime::microseconds>(given.timeout_seconds * second);
     auto outcome = co_await runtime::http_fetch(runtime, core, request, wait);
-    if (auto* receipt = std::get_if<runtime::http_receipt>(&outcome)) {
-      result.status = receipt->status;
-      result.body = json::parse(receipt->body, nullptr, false);
+    if (auto* response = std::get_if<runtime::http_response>(&outcome)) {
+      result.status = response->status;
+      result.body = json::parse(response->body, nullptr, false);
       co_return result;
     }
     // A change that may have reached a core isn't sent to another one unasked.
--- a/src/hproxy/attempts.cc
+++ b/src/hproxy/attempts.cc
@@ -90,8 +90,8 @@
     }
     here->wake_room();
   });
-  self->journal.count("herontally_placements_total");
-  if (source) self->journal.count("herontally_pulls_named_total");
+  self->logger.count("herontally_placements_total");
+  if (source) self->logger.count("herontally_pulls_named_total");
   self->held.note(destination, plan.hashes, self->runtime.now());
   bool was_started = done->sent_on;
   done->sent_on = true;
@@ -118,11 +118,11 @@
       output.insert(output.end(), next->tokens.begin(), next->tokens.end());
       done->tokens.insert(done->tokens.end(), next->tokens.begin(), next->tokens.end());
       done->text += next->text;
-      self->journal.count("herontally_tokens_streamed_total", static_cast<double>(next->tokens.size()));
+      self->logger.count("herontally_tokens_streamed_total", static_cast<double>(next->tokens.size()));
       self->send_piece(incoming, *done, *next);
       auto most = static_cast<std::size_t>(self->desired->limit.client_buffer_kilobytes) * 1024;
       if (incoming.out->backlog() > most) {
-        self->journal.count("herontally_slow_clients_cut_total");
+        self->logger.count("herontally_slow_clients_cut_total");
         co_return give_up(attempt_end::too_slow);
       }
       continue;
@@ -134,10 +134,10 @@
       co_return attempt_end::complete;
     }
     if (auto* failed = std::get_if<engine::failure>(&event)) {
-      self->journal.warn(
+      self->logger.warn(
           "attempt failed",
           {{"request_id", incoming.request_id}, {"engine", plan.destination_name}, {"why", failed->why}});
-      self->journal.count("herontally_attempts_failed_total");
+      self->logger.count("herontally_attempts_failed_total");
       self->held.forget(destination);
       if (!failed->ran && failed->status == 0) {
         // Not one byte reached it, so that this attempt has told no engine anything.
@@ -149,9 +149,9 @@
     }
     bool silent_and_gone = now - heard > 2 * second && !self->engines.row(destination).answers;
     if (silent_and_gone || now - heard > longest_silence) {
-      self->journal.warn("attempt silent",
-                         {{"request_id", incoming.request_id}, {"engine", plan.destination_name}});
-      self->journal.count("herontally_attempts_failed_total");
+      self->logger.warn("attempt silent",
+                        {{"request_id", incoming.request_id}, {"engine", plan.destination_name}});
+      self->logger.count("herontally_attempts_failed_total");
       co_return give_up(attempt_end::failed);
     }
   }
@@ -164,14 +164,14 @@
   auto whole = plan.order.prompt;
   whole.insert(whole.end(), output.begin(), output.end());
   held.note(plan.destination, prefix::block_hashes(plan.order.identity, whole), now);
-  journal.count("herontally_prompt_tokens_total", static_cast<double>(last.prompt_tokens));
-  journal.count("herontally_cached_tokens_total", static_cast<double>(last.cached_tokens));
+  logger.count("herontally_prompt_tokens_total", static_cast<double>(last.prompt_tokens));
+  logger.count("herontally_cached_tokens_total", static_cast<double>(last.cached_tokens));
   if (plan.source) {
-    journal.count("herontally_pull_bytes_total", static_cast<double>(last.bytes_moved));
-    journal.count("herontally_pull_blocks_found_total", static_cast<double>(last.blocks_found));
-    journal.count("herontally_pull_blocks_missed_total",
-                  static_cast<double>(last.blocks_asked - last.blocks_found));
-    if (last.pull_failed) journal.count("herontally_pull_fallbacks_total");
+    logger.count("herontally_pull_bytes_total", static_cast<double>(last.bytes_moved));
+    logger.count("herontally_pull_blocks_found_total", static_cast<double>(last.blocks_found));
+    logger.count("herontally_pull_blocks_missed_total",
+                 static_cast<double>(last.blocks_asked - last.blocks_found));
+    if (last.pull_failed) logger.count("herontally_pull_fallbacks_total");
     // A lender that broke off proved nothing about what it holds; one that answered did.
     auto found = static_cast<std::size_t>(std::max<std::int64_t>(0, last.blocks_found));
     if (!last.pull_failed)
--- a/src/hproxy/call_parts.h
+++ b/src/hproxy/call_parts.h
@@ -10,12 +10,12 @@
 struct call_outcome {
   enum class what { answered, not_run, unknown };
   what end = what::unknown;
-  runtime::http_receipt receipt;
+  runtime::http_response response;
 };
 
 call_outcome judge(const runtime::http_outcome& result);
-std::string type_of(const runtime::http_receipt& receipt);
+std::string type_of(const runtime::http_response& response);
 void pass_on(const gateway::writer& out, int status, const std::string& type, const std::string& body,
-             const char* receipt);
+             const char* response);
 
 }  // namespace herontally::hproxy
--- a/src/hproxy/calls.cc
+++ b/src/hproxy/calls.cc
@@ -55,15 +55,15 @@
   if (type != request.headers.end()) incoming.content_type = type->second;
   incoming.deadline = self->runtime.now() + static_cast<microseconds>(terms->route.timeout_seconds * second);
   if (terms->route.effectful)
-    co_await self->effectful_call(std::move(incoming), ledger::receipt_key(partner, name, key->second));
+    co_await self->effectful_call(std::move(incoming), ledger::call_record_key(partner, name, key->second));
   else
     co_await self->plain_call(std::move(incoming));
 }
 
 // A back end that says so itself, before it did anything, has not run the call.
-static bool says_not_run(const runtime::http_receipt& receipt) {
-  if (receipt.status < 500) return false;
-  auto body = json::parse(receipt.body, nullptr, false);
+static bool says_not_run(const runtime::http_response& response) {
+  if (response.status < 500) return false;
+  auto body = json::parse(response.body, nullptr, false);
   return body.is_object() && body.value("ran", "") == "no";
 }
 
@@ -74,22 +74,22 @@
         failed->sent && !broken("notrun") ? call_outcome::what::unknown : call_outcome::what::not_run;
     return outcome;
   }
-  outcome.receipt = std::get<runtime::http_receipt>(result);
-  if (says_not_run(outcome.receipt))
+  outcome.response = std::get<runtime::http_response>(result);
+  if (says_not_run(outcome.response))
     outcome.end = call_outcome::what::not_run;
   else
-    outcome.end = outcome.receipt.status < 500 ? call_outcome::what::answered : call_outcome::what::unknown;
+    outcome.end = outcome.response.status < 500 ? call_outcome::what::answered : call_outcome::what::unknown;
   return outcome;
 }
 
 void pass_on(const gateway::writer& out, int status, const std::string& type, const std::string& body,
-             const char* receipt) {
-  out->reply({status, {{"Content-Type", type}, {"Receipt", receipt}}, body});
+             const char* response) {
+  out->reply({status, {{"Content-Type", type}, {"Receipt", response}}, body});
 }
 
-std::string type_of(const runtime::http_receipt& receipt) {
-  auto type = receipt.headers.find("content-type");
-  return type == receipt.headers.end() ? "application/json" : type->second;
+std::string type_of(const runtime::http_response& response) {
+  auto type = response.headers.find("content-type");
+  return type == response.headers.end() ? "application/json" : type->second;
 }
 
 seat node::state::occupy(names::index number) {
@@ -113,7 +113,8 @@
     auto result = co_await runtime::http_fetch(self->runtime, plan->address, plan->request, left);
     auto outcome = judge(result);
     if (outcome.end == call_outcome::what::answered) {
-      pass_on(incoming.out, outcome.receipt.status, type_of(outcome.receipt), outcome.receipt.body, "none");
+      pass_on(incoming.out, outcome.response.status, type_of(outcome.response), outcome.response.body,
+              "none");
       co_return;
     }
     // A call without effects may be tried at another engine.
--- a/src/hproxy/door.cc
+++ b/src/hproxy/door.cc
@@ -7,7 +7,7 @@
   forward::door_options choice;
   choice.zone = place.zone;
   choice.min_cached_token_delta = to.min_cached_token_delta;
-  door.emplace(runtime, journal, to.speech, ledger::programs(stores), choice);
+  door.emplace(runtime, logger, to.speech, ledger::programs(stores), choice);
   std::weak_ptr<state> weak = weak_from_this();
   bool clients =
       runtime.http_serve(place.ingress, [weak](runtime::inbound_request request, gateway::writer out) {
@@ -20,27 +20,29 @@
         auto here = weak.lock();
         if (!here) return;
         // Without a view of the ledger's stores no turn could be taken.
-        bool ready = here->door->ready() && here->stores.current().number > 0;
+        bool ready = here->door->ready() && here->stores.current_view().number > 0;
         bool known = request.path == here->to.speech->ready_path;
-        runtime::http_receipt receipt;
-        receipt.status = !known ? 404 : ready ? 200 : 503;
-        out->reply(std::move(receipt));
+        runtime::http_response response;
+        response.status = !known ? 404 : ready ? 200 : 503;
+        out->reply(std::move(response));
       });
   if (!asked) return "readiness can't be listened on: " + place.readiness;
   return std::nullopt;
 }
 
-void node::state::tell_door(const wire::news_receipt& receipt, bool changed) {
+void node::state::tell_door(const rpc::config_update_reply& response, bool changed) {
   if (changed && desired && desired->routing) door->routing(*desired->routing, desired->evacuated_zones);
-  door->engines(receipt.engines, receipt.leaving);
+  door->engines(response.engines, response.draining_engines);
   std::int64_t live = 0;
   for (auto& each : members)
-    if (each.role == "hproxy" && (each.status == "alive" || each.status == "suspect")) ++live;
+    if (each.role == rpc::node_role::proxy &&
+        (each.status == rpc::member_status::alive || each.status == rpc::member_status::suspect))
+      ++live;
   // By the agreed list of edges, not the membership: nodes with different views of who lives would send more
   // than the rate between them.
   door->nodes(live, {desired ? proxies : 0, rank, proxies_before, rank_before});
   // Readiness asks for the view of the stores before any client does.
-  if (stores.current().number == 0) runtime.spawn(stores.refresh(runtime.now() + second));
+  if (stores.current_view().number == 0) runtime.spawn(stores.refresh_view(runtime.now() + second));
 }
 
 // Ends once nothing has been under way for a moment: clients that still hold a connection may send another
--- a/src/hproxy/effectful.cc
+++ b/src/hproxy/effectful.cc
@@ -4,12 +4,12 @@
 namespace herontally::hproxy {
 
 // No attempt is begun, but an earlier request's receipt may be there to give.
-task<> node::state::not_begun(call_request incoming, std::string record, std::string why) {
+task<> node::state::not_begun(call_request incoming, std::string record_key, std::string why) {
   auto self = shared_from_this();
-  auto known = co_await self->book.look_call(record, self->runtime.now() + ledger_patience);
-  bool begun_before = known.receipt && known.receipt->state != "not-run";
-  if (begun_before && known.receipt->body_digest == ledger::digest_of(incoming.body)) {
-    co_await self->answer_found(*known.receipt, incoming, record);
+  auto known = co_await self->book.look_call(record_key, self->runtime.now() + ledger_patience);
+  bool begun_before = known.record && known.record->state != "not-run";
+  if (begun_before && known.record->body_digest == ledger::digest_of(incoming.body)) {
+    co_await self->answer_found(*known.record, incoming, record_key);
     co_return;
   }
   self->refused(why);
@@ -19,7 +19,7 @@
                 {{"request_id", incoming.request_id}});
 }
 
-task<> node::state::effectful_call(call_request incoming, std::string record) {
+task<> node::state::effectful_call(call_request incoming, std::string record_key) {
   auto self = shared_from_this();
   std::vector<names::index> avoid;
   auto out = incoming.out;
@@ -29,28 +29,28 @@
     auto terms = self->terms_of(incoming);
     std::optional<gateway::call_plan> plan;
     if (terms && self->fresh()) plan = self->plan_attempt(incoming, *terms, avoid, round);
-    ledger::call_receipt first;
+    ledger::call_record first;
     first.state = "started";
     first.request_id = incoming.request_id + "." + std::to_string(round);
     first.body_digest = digest;
     first.engine = plan ? plan->destination_name : "";
     first.started = self->runtime.wall();
     if (!plan) {
-      co_await self->not_begun(incoming, record, "no engine of the application can take calls");
+      co_await self->not_begun(incoming, record_key, "no engine of the application can take calls");
       co_return;
     }
-    auto begun = co_await self->book.begin_call(record, first, self->runtime.now() + ledger_patience);
+    auto begun = co_await self->book.begin_call(record_key, first, self->runtime.now() + ledger_patience);
     using end = ledger::book::call_end;
     if (begun.end == end::mismatch) {
       gateway::drop(out, 422, "the Idempotency-Key was used with another body", "no");
       co_return;
     }
     if (begun.end == end::found) {
-      co_await self->answer_found(begun.receipt, incoming, record);
+      co_await self->answer_found(begun.record, incoming, record_key);
       co_return;
     }
     if (begun.end == end::full) {
-      co_await self->not_begun(incoming, record, "the ledger's disks have no room for a receipt");
+      co_await self->not_begun(incoming, record_key, "the ledger's disks have no room for a receipt");
       co_return;
     }
     if (begun.end != end::mine) {
@@ -60,12 +60,12 @@
                     self->come_back(1));
       co_return;
     }
-    ledger::call_receipt last = begun.receipt;
+    ledger::call_record last = begun.record;
     if (!self->still_good(*plan) && !broken("look")) {
       // The rounds took their time, and the plan's ground has moved: this attempt is agreed not to run.
-      self->journal.count("herontally_calls_planned_anew_total");
+      self->logger.count("herontally_calls_planned_anew_total");
       last.state = "not-run";
-      bool settled = co_await self->book.end_call(record, last, self->runtime.now() + ledger_patience);
+      bool settled = co_await self->book.end_call(record_key, last, self->runtime.now() + ledger_patience);
       if (!settled) {
         gateway::drop(out, 503, "the receipts can't be reached by a majority", "unknown", self->come_back(1));
         co_return;
@@ -74,7 +74,7 @@
       continue;
     }
     avoid.push_back(plan->destination);
-    self->journal.info(
+    self->logger.info(
         "call placed",
         {{"request_id", first.request_id}, {"engine", plan->destination_name}, {"attempt", attempt}});
     auto held = self->occupy(plan->destination);
@@ -82,29 +82,29 @@
     auto result = co_await runtime::http_fetch(self->runtime, plan->address, plan->request, left);
     auto outcome = judge(result);
     if (outcome.end == call_outcome::what::unknown) {
-      self->journal.warn("call's answer is lost",
-                         {{"request_id", first.request_id}, {"engine", plan->destination_name}});
+      self->logger.warn("call's answer is lost",
+                        {{"request_id", first.request_id}, {"engine", plan->destination_name}});
       self->runtime.spawn(self->linger(std::move(held), plan->destination));
       auto asked = co_await self->ask_outcome(plan->destination_name, terms->route, incoming.key);
       if (asked) {
         outcome.end = call_outcome::what::answered;
-        outcome.receipt = *asked;
+        outcome.response = *asked;
       }
     }
     if (outcome.end == call_outcome::what::answered) {
       last.state = "done";
-      last.status = outcome.receipt.status;
-      last.content_type = type_of(outcome.receipt);
-      last.answer = outcome.receipt.body;
+      last.status = outcome.response.status;
+      last.content_type = type_of(outcome.response);
+      last.answer = outcome.response.body;
       last.keep_until = self->runtime.wall() + terms->route.receipt_seconds * second;
-      bool kept = co_await self->book.end_call(record, last, self->runtime.now() + ledger_patience);
-      self->journal.count("herontally_calls_total{how=\"done\"}");
+      bool kept = co_await self->book.end_call(record_key, last, self->runtime.now() + ledger_patience);
+      self->logger.count("herontally_calls_total{how=\"done\"}");
       // The answer is true either way; without a kept receipt a repeat will be told "may have run".
-      pass_on(out, outcome.receipt.status, last.content_type, last.answer, kept ? "new" : "unstored");
+      pass_on(out, outcome.response.status, last.content_type, last.answer, kept ? "new" : "unstored");
       co_return;
     }
     if (outcome.end == call_outcome::what::unknown) {
-      self->journal.count("herontally_calls_total{how=\"unknown\"}");
+      self->logger.count("herontally_calls_total{how=\"unknown\"}");
       self->refused("answer lost");
       gateway::drop(out, 502, "the engine's answer is lost; the call may have run", "unknown",
                     self->come_back(1));
@@ -112,8 +112,8 @@
     }
     if (std::holds_alternative<runtime::http_failure>(result)) self->engines.failed(plan->destination);
     last.state = "not-run";
-    bool agreed = co_await self->book.end_call(record, last, self->runtime.now() + ledger_patience);
-    self->journal.count("herontally_calls_total{how=\"not run\"}");
+    bool agreed = co_await self->book.end_call(record_key, last, self->runtime.now() + ledger_patience);
+    self->logger.count("herontally_calls_total{how=\"not run\"}");
     if (!agreed) {
       // Not agreed, not promised.
       gateway::drop(out, 503, "the engine could not be reached", "unknown", self->come_back(1));
@@ -126,7 +126,7 @@
 }
 
 // A later request with the same key: the stored answer, or what can honestly be said.
-task<> node::state::answer_found(ledger::call_receipt found, call_request incoming, std::string record) {
+task<> node::state::answer_found(ledger::call_record found, call_request incoming, std::string record_key) {
   auto self = shared_from_this();
   auto out = incoming.out;
   auto terms = self->terms_of(incoming);
@@ -138,11 +138,11 @@
       found.content_type = type_of(*asked);
       found.answer = asked->body;
       found.keep_until = self->runtime.wall() + terms->route.receipt_seconds * second;
-      co_await self->book.end_call(record, found, self->runtime.now() + ledger_patience);
+      co_await self->book.end_call(record_key, found, self->runtime.now() + ledger_patience);
     }
   }
   if (found.state == "done") {
-    self->journal.count("herontally_calls_total{how=\"replayed\"}");
+    self->logger.count("herontally_calls_total{how=\"replayed\"}");
     pass_on(out, static_cast<int>(found.status), found.content_type, found.answer, "stored");
     co_return;
   }
--- a/src/hproxy/looks.cc
+++ b/src/hproxy/looks.cc
@@ -6,8 +6,8 @@
 constexpr microseconds ledger_patience = 2500 * millisecond;
 
 // Asks the back end whether it has an outcome for the key; asking runs nothing.
-task<std::optional<runtime::http_receipt>> node::state::ask_outcome(std::string name, desired::route route,
-                                                                    std::string key) {
+task<std::optional<runtime::http_response>> node::state::ask_outcome(std::string name, desired::route route,
+                                                                     std::string key) {
   auto self = shared_from_this();
   if (route.outcome_path.empty()) co_return std::nullopt;
   std::string address;
@@ -20,9 +20,9 @@
   request.path = route.outcome_path;
   request.headers["Idempotency-Key"] = key;
   auto result = co_await runtime::http_fetch(self->runtime, address, request, second);
-  auto* receipt = std::get_if<runtime::http_receipt>(&result);
-  if (!receipt || receipt->status != 200) co_return std::nullopt;
-  co_return *receipt;
+  auto* response = std::get_if<runtime::http_response>(&result);
+  if (!response || response->status != 200) co_return std::nullopt;
+  co_return *response;
 }
 
 task<> node::state::look(gateway::writer out, std::string partner, std::string program) {
--- a/src/hproxy/node.cc
+++ b/src/hproxy/node.cc
@@ -1,38 +1,39 @@
 #include "hproxy/node.h"
 
 #include "hproxy/node_state.h"
-#include "members/members.h"
+#include "membership/member_list.h"
 #include "runtime/breaks.h"
 
 namespace herontally::hproxy {
 
-node::state::state(runtime::handle handle, settings::settings given, logging::journal lines, adapted spoken)
+node::state::state(runtime::handle handle, settings::settings given, logging::logger lines, adapted spoken)
     : runtime(handle),
       place(std::move(given)),
-      journal(lines),
-      port(handle, place.name, lines),
-      stores(port, "store"),
+      logger(lines),
+      endpoint(handle, place.name, lines),
+      stores(endpoint, "store"),
       book(stores, [this](const std::string& owner, std::int64_t life) { return is_gone(owner, life); }),
       to(std::move(spoken)),
       engines(handle, lines),
       incarnation(handle.wall()) {
-  if (place.speaks > 0) port.speak(place.speaks);
+  if (place.speaks > 0) endpoint.set_version(place.speaks);
 }
 
-node::node(runtime::handle runtime, settings::settings place, logging::journal journal, adapted to)
+node::node(runtime::handle runtime, settings::settings place, logging::logger logger, adapted to)
     : state_(
-          std::make_shared<state>(std::move(runtime), std::move(place), std::move(journal), std::move(to))) {}
+          std::make_shared<state>(std::move(runtime), std::move(place), std::move(logger), std::move(to))) {}
 node::~node() = default;
 
 task<std::optional<std::string>> node::start() {
   auto self = state_;
   std::weak_ptr<state> weak = self;
-  self->stores.seeds([weak] {
+  self->stores.set_seeds([weak] {
     std::vector<std::string> addresses;
     auto here = weak.lock();
     if (!here) return addresses;
     for (auto& each : here->members)
-      if (each.role == "hstore" && (each.status == "alive" || each.status == "suspect"))
+      if (each.role == rpc::node_role::store &&
+          (each.status == rpc::member_status::alive || each.status == rpc::member_status::suspect))
         addresses.push_back(each.inner);
     return addresses;
   });
@@ -50,15 +51,15 @@
     self->engines.start();
   }
   self->runtime.spawn(self->feed());
-  if (!self->port.listen(self->place.inner)) co_return "inner can't be listened on: " + self->place.inner;
-  self->port.on<wire::trace_ask>([weak](wire::trace_ask question) -> task<wire::trace_receipt> {
+  if (!self->endpoint.listen(self->place.inner)) co_return "inner can't be listened on: " + self->place.inner;
+  self->endpoint.serve<rpc::trace_request>([weak](rpc::trace_request request) -> task<rpc::trace_reply> {
     auto here = weak.lock();
-    wire::trace_receipt receipt;
-    receipt.node = here->place.name;
-    receipt.role = "hproxy";
+    rpc::trace_reply reply;
+    reply.node = here->place.name;
+    reply.role = rpc::node_role::proxy;
     for (auto& event : here->trace)
-      if (question.revision == 0 || event.revision == question.revision) receipt.events.push_back(event);
-    co_return receipt;
+      if (request.revision == 0 || event.revision == request.revision) reply.events.push_back(event);
+    co_return reply;
   });
   if (!self->runtime.http_serve(
           self->place.http, [weak](runtime::inbound_request request, gateway::writer out) {
@@ -66,7 +67,7 @@
               here->runtime.spawn(here->serve_request(std::move(request), std::move(out)));
           }))
     co_return "http can't be listened on: " + self->place.http;
-  self->journal.info("started", {{"agent", self->place.agent}});
+  self->logger.info("started", {{"agent", self->place.agent}});
   co_return std::nullopt;
 }
 
@@ -89,19 +90,20 @@
 
 bool node::state::is_gone(const std::string& owner, std::int64_t life) const {
   for (auto& each : members)
-    if (each.name == owner && each.role == "hproxy")
+    if (each.name == owner && each.role == rpc::node_role::proxy)
       return each.incarnation > life ||
-             (each.incarnation == life && (each.status == "dead" || each.status == "left"));
+             (each.incarnation == life &&
+              (each.status == rpc::member_status::dead || each.status == rpc::member_status::left));
   return false;
 }
 
 void node::state::take_members(const std::string& text, std::int64_t version) {
-  auto list = members::from_text(text);
+  auto list = membership::members_from_text(text);
   if (list.empty()) return;
   members = std::move(list);
   members_version = version;
   for (auto& each : members)
-    if (each.role == "hagent" && each.inner == place.agent) agent_name = each.name;
+    if (each.role == rpc::node_role::agent && each.inner == place.agent) agent_name = each.name;
 }
 
 // Which doors share the engines' cold caps, and this one's place among them. The agreed list of edges
@@ -119,64 +121,64 @@
   proxies_before = static_cast<std::int64_t>(desired->edges_before.size());
 }
 
-void node::state::take_news(const wire::news_receipt& receipt, microseconds asked) {
-  if (!receipt.members.empty()) take_members(receipt.members, receipt.members_version);
-  if (!receipt.engines.empty()) {
-    engines_epoch = receipt.engines_epoch;
-    engines_sequence = receipt.engines_sequence;
-    if (!door) engines.list(receipt.engines);
+void node::state::take_news(const rpc::config_update_reply& reply, microseconds asked) {
+  if (!reply.members.empty()) take_members(reply.members, reply.members_version);
+  if (!reply.engines.empty()) {
+    engines_epoch = reply.engines_epoch;
+    engines_sequence = reply.engines_sequence;
+    if (!door) engines.list(reply.engines);
   }
-  if (!door) engines.leaving(receipt.leaving);
+  if (!door) engines.leaving(reply.draining_engines);
   bool changed = false;
   // A lower revision never replaces a higher one.
-  if (!receipt.state.empty() && receipt.revision > revision) {
-    auto content = desired::from_text(receipt.state);
+  if (!reply.config.empty() && reply.revision > revision) {
+    auto content = desired::from_text(reply.config);
     if (content) {
       desired = desired::state_of(*content);
       revision = content->revision;
       changed = true;
       trace.push_back({revision, "in force", "agent", runtime.wall()});
       if (trace.size() > 500) trace.erase(trace.begin(), trace.begin() + 250);
-      journal.info("desired state in force", {{"revision", revision}});
-      journal.gauge("herontally_desired_revision", static_cast<double>(revision));
+      logger.info("desired state in force", {{"revision", revision}});
+      logger.gauge("herontally_desired_revision", static_cast<double>(revision));
       wake_room();
     }
   }
   if (desired) count_doors();
-  if (door) tell_door(receipt, changed);
+  if (door) tell_door(reply, changed);
   // The agent vouches for its knowledge as of some moment before it answered; we count from our question.
-  if (receipt.age_milliseconds >= 0 && revision >= receipt.revision)
-    fresh_at = std::max(fresh_at, asked - receipt.age_milliseconds * millisecond);
+  if (reply.age_milliseconds >= 0 && revision >= reply.revision)
+    fresh_at = std::max(fresh_at, asked - reply.age_milliseconds * millisecond);
 }
 
 task<> node::state::feed() {
   auto self = shared_from_this();
   while (true) {
     auto asked = self->runtime.now();
-    wire::news_ask question;
-    question.node = self->place.name;
-    question.revision = self->revision;
-    question.in_force = self->revision;
-    question.engines_epoch = self->engines_epoch;
-    question.engines_sequence = self->engines_sequence;
-    question.wait_milliseconds = 150;
-    question.incarnation = self->incarnation;
-    question.http = self->place.inner;
-    question.members_version = self->members_version;
-    auto result = co_await self->port.ask(self->place.agent, std::move(question), 600 * millisecond);
-    auto* receipt = std::get_if<wire::news_receipt>(&result);
-    if (receipt)
-      self->take_news(*receipt, asked);
+    rpc::config_update_request request;
+    request.node = self->place.name;
+    request.revision = self->revision;
+    request.applied_revision = self->revision;
+    request.engines_epoch = self->engines_epoch;
+    request.engines_sequence = self->engines_sequence;
+    request.wait_milliseconds = 150;
+    request.incarnation = self->incarnation;
+    request.http = self->place.inner;
+    request.members_version = self->members_version;
+    auto result = co_await self->endpoint.call(self->place.agent, std::move(request), 600 * millisecond);
+    auto* reply = std::get_if<rpc::config_update_reply>(&result);
+    if (reply)
+      self->take_news(*reply, asked);
     else
       co_await self->runtime.sleep(100 * millisecond);
-    self->journal.gauge("herontally_news_age_milliseconds",
-                        static_cast<double>((self->runtime.now() - self->fresh_at) / millisecond));
-    self->journal.gauge("herontally_fresh", self->fresh() ? 1 : 0);
+    self->logger.gauge("herontally_news_age_milliseconds",
+                       static_cast<double>((self->runtime.now() - self->fresh_at) / millisecond));
+    self->logger.gauge("herontally_fresh", self->fresh() ? 1 : 0);
   }
 }
 
 void node::state::refused(const std::string& reason) {
-  journal.count("herontally_drops_total{reason=\"" + reason + "\"}");
+  logger.count("herontally_drops_total{reason=\"" + reason + "\"}");
 }
 
 int node::state::come_back(std::int64_t least) const {
@@ -212,11 +214,11 @@
 
 task<> node::state::serve_request(runtime::inbound_request request, gateway::writer out) {
   auto self = shared_from_this();
-  self->journal.gauge("herontally_requests", static_cast<double>(self->requests));
-  self->journal.gauge("herontally_queue", static_cast<double>(self->waiting));
+  self->logger.gauge("herontally_requests", static_cast<double>(self->requests));
+  self->logger.gauge("herontally_queue", static_cast<double>(self->waiting));
   // A door whose zone is evacuated serves who still comes, and asks the platform to send others elsewhere.
   bool evacuated = self->desired && self->desired->evacuated_zones.count(self->place.zone) > 0;
-  if (gateway::common_pages(request, out, self->journal, self->fresh() && !self->leaving && !evacuated,
+  if (gateway::common_pages(request, out, self->logger, self->fresh() && !self->leaving && !evacuated,
                             {{"revision", self->revision}}))
     co_return;
   auto parts = gateway::split_path(request.path);
--- a/src/hproxy/node.h
+++ b/src/hproxy/node.h
@@ -16,7 +16,7 @@
 
 class node {
  public:
-  node(runtime::handle runtime, settings::settings place, logging::journal journal, adapted to = {});
+  node(runtime::handle runtime, settings::settings place, logging::logger logger, adapted to = {});
   ~node();
   runtime::task<std::optional<std::string>> start();
   runtime::task<> leave();
--- a/src/hproxy/node_state.h
+++ b/src/hproxy/node_state.h
@@ -65,9 +65,9 @@
 struct node::state : std::enable_shared_from_this<node::state> {
   runtime::handle runtime;
   settings::settings place;
-  logging::journal journal;
-  wire::port port;
-  reg::proposer stores;
+  logging::logger logger;
+  rpc::endpoint endpoint;
+  consensus::proposer stores;
   ledger::book book;
   adapted to;
   std::optional<forward::door> door;  // clients' requests by the routing table, where there is an adapter
@@ -79,24 +79,24 @@
   std::int64_t incarnation = 0;
   bool leaving = false;
   std::string agent_name;
-  std::vector<wire::member> members;
+  std::vector<rpc::member> members;
   std::int64_t members_version = 0;
   std::int64_t proxies = 1, rank = -1, proxies_before = 0, rank_before = -1;
   std::int64_t requests = 0, waiting = 0;
   std::map<std::string, std::int64_t> by_peer;
   std::vector<runtime::slot<bool>> room;  // requests that wait for an engine, first come first
   double turn_seconds = 0.5;              // moving average of a turn's time at its engine
-  std::vector<wire::trace_event> trace;
+  std::vector<rpc::trace_event> trace;
   std::map<std::string, ledger::turn_content> contents;  // immutable, so a copy is as good
 
-  state(runtime::handle handle, settings::settings given, logging::journal lines, adapted spoken);
+  state(runtime::handle handle, settings::settings given, logging::logger lines, adapted spoken);
   bool fresh() const;
   // The addresses that the adapter's settings name; what stands in the way, if anything.
   std::optional<std::string> open_door();
   task<> close_door();
-  void tell_door(const wire::news_receipt& receipt, bool changed);
+  void tell_door(const rpc::config_update_reply& reply, bool changed);
   bool is_gone(const std::string& owner, std::int64_t life) const;
-  void take_news(const wire::news_receipt& receipt, microseconds asked);
+  void take_news(const rpc::config_update_reply& reply, microseconds asked);
   void take_members(const std::string& text, std::int64_t version);
   void count_doors();
   void refused(const std::string& reason);
@@ -138,9 +138,9 @@
   task<> not_begun(call_request incoming, std::string record, std::string why);
   task<> effectful_call(call_request incoming, std::string record);
   task<> plain_call(call_request incoming);
-  task<std::optional<runtime::http_receipt>> ask_outcome(std::string engine, desired::route route,
-                                                         std::string key);
-  task<> answer_found(ledger::call_receipt found, call_request incoming, std::string record);
+  task<std::optional<runtime::http_response>> ask_outcome(std::string engine, desired::route route,
+                                                          std::string key);
+  task<> answer_found(ledger::call_record found, call_request incoming, std::string record);
   task<> look(gateway::writer out, std::string partner, std::string program);
 };
 
--- a/src/hproxy/turns.cc
+++ b/src/hproxy/turns.cc
@@ -199,7 +199,7 @@
       fields["attempt"] = attempt;
       fields["revision"] = plan->desired_revision;
       fields["source"] = plan->order.source;
-      self->journal.info("turn placed", fields);
+      self->logger.info("turn placed", fields);
       avoid.push_back(plan->destination);
       last = co_await self->carry_out(std::move(*plan), incoming, done);
     }
@@ -220,18 +220,18 @@
                                                    self->runtime.now() + ledger_patience);
     if (settled == ledger::settle_end::settled) {
       self->keep_content(ledger::digest_of(ledger::to_text(content)), content);
-      self->journal.count("herontally_turns_total{how=\"complete\"}");
+      self->logger.count("herontally_turns_total{how=\"complete\"}");
       self->send_end(
           incoming, *done, "complete",
           {{"tokens", tokens}, {"spent", opened.now.spent + tokens}, {"length", opened.now.length + 1}});
       co_return;
     }
     // Not lasting, or superseded: to the client the turn isn't complete.
-    self->journal.count("herontally_turns_total{how=\"unsettled\"}");
+    self->logger.count("herontally_turns_total{how=\"unsettled\"}");
     self->send_end(incoming, *done, "cut", {{"reason", "the ledger could not settle the turn"}});
     co_return;
   }
-  self->journal.count("herontally_turns_total{how=\"cut\"}");
+  self->logger.count("herontally_turns_total{how=\"cut\"}");
   if (last == attempt_end::lease_over) reason = "the turn's lease is over";
   if (last == attempt_end::too_slow) reason = "the client reads too slowly";
   // What went out is spent. The client is told first; the ledger's answer changes nothing for it.
--- a/src/hscale/hollow.cc
+++ b/src/hscale/hollow.cc
@@ -2,11 +2,11 @@
 
 #include "desired/state.h"
 #include "hagent/node.h"
-#include "wire/wire.h"
+#include "rpc/endpoint.h"
 
 namespace hscale {
 
-namespace wire = herontally::wire;
+namespace rpc = herontally::rpc;
 using runtime::millisecond;
 using runtime::task;
 
@@ -15,8 +15,8 @@
   std::shared_ptr<sightings> seen;
   std::shared_ptr<bool> dead = std::make_shared<bool>(false);
   runtime::handle agent_runtime, proxy_runtime;
-  logging::journal agent_journal, proxy_journal;
-  wire::port proxy_port;
+  logging::logger agent_logger, proxy_logger;
+  rpc::endpoint proxy_endpoint;
   std::optional<herontally::hagent::node> agent;
   // What the proxy knows, as hproxy keeps it.
   std::int64_t revision = 0, engines_epoch = 0, engines_sequence = 0, members_version = 0;
@@ -26,9 +26,9 @@
         seen(std::move(shared)),
         agent_runtime(mortal(table, dead), std::hash<std::string>()(terms.name)),
         proxy_runtime(mortal(table, dead), std::hash<std::string>()("proxy " + terms.name)),
-        agent_journal(terms.name, watcher(seen, terms.name, agent_runtime)),
-        proxy_journal("proxy-" + terms.name, [](const std::string&, const json&) {}),
-        proxy_port(proxy_runtime, "proxy-" + terms.name, proxy_journal) {}
+        agent_logger(terms.name, watcher(seen, terms.name, agent_runtime)),
+        proxy_logger("proxy-" + terms.name, [](const std::string&, const json&) {}),
+        proxy_endpoint(proxy_runtime, "proxy-" + terms.name, proxy_logger) {}
 
   static runtime::backend mortal(runtime::backend table, std::shared_ptr<bool> dead) {
     auto serve = table.serve;
@@ -40,8 +40,8 @@
     return table;
   }
 
-  static logging::journal::sink watcher(std::shared_ptr<sightings> seen, std::string observer,
-                                        runtime::handle handle) {
+  static logging::logger::sink watcher(std::shared_ptr<sightings> seen, std::string observer,
+                                       runtime::handle handle) {
     return [seen, observer, handle](const std::string&, const json& line) {
       if (line.value("event", "") != "member" || line.value("status", "") != "dead") return;
       seen->dead[line.value("member", "")].emplace(observer, handle.wall());
@@ -57,38 +57,39 @@
   static task<> feed(std::shared_ptr<state> self) {
     auto incarnation = self->proxy_runtime.wall();
     while (true) {
-      wire::news_ask question;
-      question.node = "proxy-" + self->terms.name;
-      question.revision = self->revision;
-      question.in_force = self->revision;
-      question.engines_epoch = self->engines_epoch;
-      question.engines_sequence = self->engines_sequence;
-      question.wait_milliseconds = 150;
-      question.incarnation = incarnation;
-      question.http = self->terms.proxy_inner;
-      question.members_version = self->members_version;
-      auto result = co_await self->proxy_port.ask(self->terms.inner, std::move(question), 600 * millisecond);
-      auto* receipt = std::get_if<wire::news_receipt>(&result);
-      if (receipt)
-        self->take(*receipt);
+      rpc::config_update_request request;
+      request.node = "proxy-" + self->terms.name;
+      request.revision = self->revision;
+      request.applied_revision = self->revision;
+      request.engines_epoch = self->engines_epoch;
+      request.engines_sequence = self->engines_sequence;
+      request.wait_milliseconds = 150;
+      request.incarnation = incarnation;
+      request.http = self->terms.proxy_inner;
+      request.members_version = self->members_version;
+      auto result =
+          co_await self->proxy_endpoint.call(self->terms.inner, std::move(request), 600 * millisecond);
+      auto* reply = std::get_if<rpc::config_update_reply>(&result);
+      if (reply)
+        self->take(*reply);
       else
         co_await self->proxy_runtime.sleep(100 * millisecond);
     }
   }
 
-  void take(const wire::news_receipt& receipt) {
-    if (!receipt.engines.empty()) {
-      engines_epoch = receipt.engines_epoch;
-      engines_sequence = receipt.engines_sequence;
+  void take(const rpc::config_update_reply& reply) {
+    if (!reply.engines.empty()) {
+      engines_epoch = reply.engines_epoch;
+      engines_sequence = reply.engines_sequence;
       // Parsed as a proxy does it, for the processor time.
-      (void)json::parse(receipt.engines, nullptr, false).size();
+      (void)json::parse(reply.engines, nullptr, false).size();
     }
-    if (!receipt.members.empty()) {
-      members_version = receipt.members_version;
-      (void)json::parse(receipt.members, nullptr, false).size();
+    if (!reply.members.empty()) {
+      members_version = reply.members_version;
+      (void)json::parse(reply.members, nullptr, false).size();
     }
-    if (receipt.state.empty() || receipt.revision <= revision) return;
-    auto content = herontally::desired::from_text(receipt.state);
+    if (reply.config.empty() || reply.revision <= revision) return;
+    auto content = herontally::desired::from_text(reply.config);
     if (!content) return;
     revision = content->revision;
     seen->in_force[revision].push_back(proxy_runtime.wall());
@@ -110,8 +111,8 @@
   place.seeds = here.terms.seeds;
   place.platform = here.terms.platform;
   place.speaks = here.terms.speaks;
-  if (place.speaks > 0) here.proxy_port.speak(place.speaks);
-  here.agent.emplace(here.agent_runtime, place, here.agent_journal);
+  if (place.speaks > 0) here.proxy_endpoint.set_version(place.speaks);
+  here.agent.emplace(here.agent_runtime, place, here.agent_logger);
   here.agent_runtime.spawn(state::begin(state_));
   here.proxy_runtime.spawn(state::feed(state_));
 }
@@ -126,7 +127,7 @@
 
 bool machine::alive() const { return !*state_->dead; }
 const machine_terms& machine::terms() const { return state_->terms; }
-double machine::agent_value(const std::string& counter) const { return state_->agent_journal.value(counter); }
-double machine::proxy_value(const std::string& counter) const { return state_->proxy_journal.value(counter); }
+double machine::agent_value(const std::string& counter) const { return state_->agent_logger.value(counter); }
+double machine::proxy_value(const std::string& counter) const { return state_->proxy_logger.value(counter); }
 
 }  // namespace hscale
--- a/src/hsim/faults_aimed.cc
+++ b/src/hsim/faults_aimed.cc
@@ -1,6 +1,6 @@
 // Faults that meet each other or a certain moment, and those of machines that come and go.
 #include "hsim/faults_state.h"
-#include "wire/codec.h"
+#include "rpc/codec.h"
 
 namespace hsim {
 
@@ -102,7 +102,7 @@
     auto names = ours();
     std::shuffle(names.begin(), names.end(), w().random());
     for (auto& name : names) {
-      int version = way == 1 ? 0 : herontally::wire::protocol_version + (older ? -1 : 1);
+      int version = way == 1 ? 0 : herontally::rpc::protocol_version + (older ? -1 : 1);
       later(wait, [self = shared_from_this(), name, version] {
         if (self->gone.contains(name) || !self->w().find(name).up || self->w().find(name).frozen) return;
         self->target.speak(name, version);
--- a/src/hsim/measure_repair.cc
+++ b/src/hsim/measure_repair.cc
@@ -1,9 +1,9 @@
 // What repair and replacement cost.
 #include <stdio.h>
 
+#include "consensus/proposer.h"
 #include "hsim/measure.h"
 #include "hsim/scenario.h"
-#include "register/proposer.h"
 
 namespace hsim {
 
@@ -17,7 +17,7 @@
   world where;
   oracle judge;
   site place;
-  std::shared_ptr<herontally::reg::proposer> writer;
+  std::shared_ptr<herontally::consensus::proposer> writer;
   explicit filled_site(std::uint64_t seed) : where(seed), judge(where), place(where, judge, shape()) {}
   static site_options shape() {
     site_options choice;
@@ -28,9 +28,11 @@
   bool begin(int records) {
     if (!place.begin()) return false;
     namespace ht = herontally;
-    ht::wire::port port(place.callers(), "writer", ht::logging::journal("writer", [](auto&, auto&) {}));
-    writer = std::make_shared<ht::reg::proposer>(port, "store");
-    writer->seeds([] { return std::vector<std::string>{"10.0.0.4:7000", "10.0.0.5:7000", "10.0.0.6:7000"}; });
+    ht::rpc::endpoint endpoint(place.callers(), "writer", ht::logging::logger("writer", [](auto&, auto&) {}));
+    writer = std::make_shared<ht::consensus::proposer>(endpoint, "store");
+    writer->set_seeds([] {
+      return std::vector<std::string>{"10.0.0.4:7000", "10.0.0.5:7000", "10.0.0.6:7000"};
+    });
     int ended = 0;
     auto put = [](filled_site* own, int from, int to, int* done) -> rt::task<> {
       for (int number = from; number < to; ++number)
--- a/src/hsim/site.cc
+++ b/src/hsim/site.cc
@@ -62,16 +62,16 @@
       "10.0." + std::to_string(next_address / 200) + "." + std::to_string(next_address % 200 + 1);
   ++next_address;
   where.machine(name, zone);
-  auto journal = journal_of(name);
-  places.insert_or_assign(name, place{name, role, zone, host + ":7000", host + ":8000", "", {}, journal});
+  auto logger = logger_of(name);
+  places.insert_or_assign(name, place{name, role, zone, host + ":7000", host + ":8000", "", {}, logger});
   return places.at(name);
 }
 
 // Of what simulated nodes log only one thing is read: who knows first that an engine leaves. Their counters
 // are read by the measurements.
-ht::logging::journal site::state::journal_of(const std::string& name) {
+ht::logging::logger site::state::logger_of(const std::string& name) {
   auto* watcher = &judge;
-  return ht::logging::journal(name, [watcher](const std::string&, const json& line) {
+  return ht::logging::logger(name, [watcher](const std::string&, const json& line) {
     if (line["event"] == "engine leaves") watcher->leaving_learned(line["engine"]);
   });
 }
@@ -91,7 +91,7 @@
   given.operators = {{operator_token, "*"}};
   given.disk_megabytes = 64;
   given.speaks = versions[spot.name];
-  auto node = std::make_shared<Node>(where.runtime_of(spot.name), given, spot.journal);
+  auto node = std::make_shared<Node>(where.runtime_of(spot.name), given, spot.logger);
   where.runtime_of(spot.name).spawn(
       [](std::shared_ptr<Node> started, site* own, std::string name) -> rt::task<> {
         auto fault = co_await started->start();
@@ -108,13 +108,13 @@
   self.where.boot(name);
   auto& spot = self.places.at(name);
   // A process that starts anew counts anew.
-  spot.journal = self.journal_of(name);
+  spot.logger = self.logger_of(name);
   if (spot.role == "hcore") machine.node = self.start<ht::hcore::node>(spot);
   if (spot.role == "hstore") machine.node = self.start<ht::hstore::node>(spot);
   if (spot.role == "hagent") machine.node = self.start<ht::hagent::node>(spot);
   if (spot.role == "hproxy") machine.node = self.start<ht::hproxy::node>(spot);
   if (spot.role == "engine") {
-    auto node = std::make_shared<ht::simengine::node>(self.where.runtime_of(name), spot.engine, spot.journal);
+    auto node = std::make_shared<ht::simengine::node>(self.where.runtime_of(name), spot.engine, spot.logger);
     auto* judge = &self.judge;
     auto* own = state_.get();
     node->on_run([judge, name, own](const ht::simengine::run& what) {
@@ -140,7 +140,7 @@
     ht::simplatform::options given;
     given.http = spot.http;
     given.engines = self.engines;
-    auto node = std::make_shared<ht::simplatform::node>(self.where.runtime_of(name), given, spot.journal);
+    auto node = std::make_shared<ht::simplatform::node>(self.where.runtime_of(name), given, spot.logger);
     self.where.runtime_of(name).spawn([](std::shared_ptr<ht::simplatform::node> started) -> rt::task<> {
       co_await started->start();
     }(node));
@@ -182,7 +182,7 @@
 
 double site::metric(const std::string& node, const std::string& name) {
   auto found = state_->places.find(node);
-  return found == state_->places.end() ? 0 : found->second.journal.value(name);
+  return found == state_->places.end() ? 0 : found->second.logger.value(name);
 }
 
 bool site::doors_ready() {
--- a/src/hsim/site.h
+++ b/src/hsim/site.h
@@ -31,7 +31,7 @@
   std::string weights = "v1";  // that the next state names
 };
 
-struct operator_receipt {
+struct operator_response {
   int status = 0;
   nlohmann::json body;
 };
@@ -73,8 +73,8 @@
   // The desired state whose prefixes and paths name this marker.
   nlohmann::json document(std::int64_t marker) const;
   offered_state offered(std::int64_t marker) const;
-  herontally::runtime::task<operator_receipt> operate(std::string core, std::string method, std::string path,
-                                                      std::string body, std::string expected);
+  herontally::runtime::task<operator_response> operate(std::string core, std::string method, std::string path,
+                                                       std::string body, std::string expected);
   // Applies the next marker through some core; the oracle is told of what was acknowledged.
   herontally::runtime::task<bool> apply_next(std::string core);
   // The same, by one core after the other, until one has acknowledged it.
--- a/src/hsim/site_operators.cc
+++ b/src/hsim/site_operators.cc
@@ -59,8 +59,8 @@
   return {{"shared", shared}, {"partners", partners}};
 }
 
-rt::task<operator_receipt> site::operate(std::string core, std::string method, std::string path,
-                                         std::string body, std::string expected) {
+rt::task<operator_response> site::operate(std::string core, std::string method, std::string path,
+                                          std::string body, std::string expected) {
   rt::http_request request;
   request.method = method;
   request.path = path;
@@ -69,12 +69,12 @@
   if (!expected.empty()) request.headers["If-Match"] = expected;
   auto runtime = callers();
   auto outcome = co_await rt::http_fetch(runtime, state_->places.at(core).http, request, 9 * rt::second);
-  operator_receipt receipt;
-  if (auto* answer = std::get_if<rt::http_receipt>(&outcome)) {
-    receipt.status = answer->status;
-    receipt.body = json::parse(answer->body, nullptr, false);
+  operator_response response;
+  if (auto* answer = std::get_if<rt::http_response>(&outcome)) {
+    response.status = answer->status;
+    response.body = json::parse(answer->body, nullptr, false);
   }
-  co_return receipt;
+  co_return response;
 }
 
 rt::task<bool> site::apply_next(std::string core) {
@@ -146,7 +146,7 @@
     request.path = path;
     request.headers["Authorization"] = std::string("Bearer ") + operator_token;
     auto outcome = co_await rt::http_fetch(own->callers(), address, request, 2 * rt::second);
-    auto* answer = std::get_if<rt::http_receipt>(&outcome);
+    auto* answer = std::get_if<rt::http_response>(&outcome);
     auto body = answer && answer->status == 200 ? json::parse(answer->body, nullptr, false) : json();
     // A node that was restarted meanwhile may have answered in its earlier life: what it said stands.
     if (body.is_object() && body.contains("revision"))
--- a/src/hsim/site_state.h
+++ b/src/hsim/site_state.h
@@ -16,7 +16,7 @@
 struct place {
   std::string name, role, zone, inner, http, agent;
   ht::simengine::options engine;
-  ht::logging::journal journal;
+  ht::logging::logger logger;
 };
 
 struct site::state {
@@ -38,7 +38,7 @@
 
   place& make(const std::string& role, const std::string& name, const std::string& zone);
   void show_engines();
-  ht::logging::journal journal_of(const std::string& name);
+  ht::logging::logger logger_of(const std::string& name);
   template <class Node>
   std::shared_ptr<Node> start(const place& spot);
 };
--- a/src/hsim/world_http_writer.cc
+++ b/src/hsim/world_http_writer.cc
@@ -58,11 +58,11 @@
     auto here = weak.lock();
     if (here) to_client(here, exchange, std::move(event), bytes);
   };
-  writer->reply = [send, exchange](rt::http_receipt receipt) {
+  writer->reply = [send, exchange](rt::http_response response) {
     if (std::exchange(exchange->replied, true)) return;
     exchange->on_gone = nullptr;
-    send(head_of(*exchange, receipt.status, receipt.headers), 100);
-    if (!receipt.body.empty()) send(rt::http_piece{receipt.body}, receipt.body.size());
+    send(head_of(*exchange, response.status, response.headers), 100);
+    if (!response.body.empty()) send(rt::http_piece{response.body}, response.body.size());
     send(rt::http_end{}, 0);
   };
   writer->start = [send, exchange](int status, std::map<std::string, std::string> headers) {
--- a/src/hstore/expiry.cc
+++ b/src/hstore/expiry.cc
@@ -16,7 +16,7 @@
   if (!now.open.empty()) return false;
   return ledger::is_overdue(now, wall) || (broken("keep") && now.length > 0);
 }
-static bool overdue(const ledger::call_receipt& now, microseconds wall) {
+static bool overdue(const ledger::call_record& now, microseconds wall) {
   return now.readable && now.state == "done" && now.keep_until != 0 &&
          wall > now.keep_until + ledger::keep_margin;
 }
@@ -24,9 +24,9 @@
 // So many records are looked at in one pass; a large store takes several.
 constexpr std::size_t one_pass = 4000;
 
-static std::vector<std::string> some_keys(const reg::voter& voter, const std::string& prefix,
+static std::vector<std::string> some_keys(const replication::voter& voter, const std::string& prefix,
                                           std::string& after) {
-  auto keys = voter.keys_with_prefix(prefix);
+  auto keys = voter.records().records_with_prefix(prefix);
   std::sort(keys.begin(), keys.end());
   auto begin = std::upper_bound(keys.begin(), keys.end(), after);
   auto end = keys.end() - begin > static_cast<std::ptrdiff_t>(one_pass)
@@ -39,7 +39,7 @@
 
 // The first live storage node closes heads; the expected value in the register makes a second closer
 // harmless.
-static task<> close_heads(reg::voter voter, reg::proposer group, runtime::handle runtime,
+static task<> close_heads(replication::voter voter, consensus::proposer group, runtime::handle runtime,
                           std::string* after) {
   for (auto& record : some_keys(voter, "k/p/", *after)) {
     std::string key = record.substr(2);
@@ -52,19 +52,19 @@
       return ledger::to_text(now);
     };
     co_await group.change(key, close, runtime.now() + 2 * second, true);
-    group.port().journal().count("herontally_conversations_expired_total");
+    group.endpoint().logger().count("herontally_conversations_expired_total");
   }
 }
 
 // A receipt loses its answer after its keeping time and stays as a tombstone: its key never runs again.
-static task<> shrink_receipts(reg::voter voter, reg::proposer group, runtime::handle runtime,
+static task<> shrink_receipts(replication::voter voter, consensus::proposer group, runtime::handle runtime,
                               std::string* after) {
   for (auto& record : some_keys(voter, "k/r/", *after)) {
     std::string key = record.substr(2);
-    auto found = ledger::receipt_from(voter.accepted_value(key));
+    auto found = ledger::call_record_from(voter.accepted_value(key));
     if (!found || !overdue(*found, runtime.wall())) continue;
     auto shrink = [runtime](const std::optional<std::string>& current) -> std::optional<std::string> {
-      auto now = ledger::receipt_from(current);
+      auto now = ledger::call_record_from(current);
       if (!now || !overdue(*now, runtime.wall())) return std::nullopt;
       now->state = "gone";
       now->answer.clear();
@@ -73,28 +73,28 @@
       return ledger::to_text(*now);
     };
     co_await group.change(key, shrink, runtime.now() + 2 * second, true);
-    group.port().journal().count("herontally_receipts_shrunk_total");
+    group.endpoint().logger().count("herontally_receipts_shrunk_total");
   }
 }
 
 // The contents of conversations; kept turns have times of their own.
-static std::vector<std::string> conversation_contents(const reg::voter& voter) {
+static std::vector<std::string> conversation_contents(const replication::voter& voter) {
   constexpr int one_step = 1000;
   const std::string turns = std::string("c/") + ledger::turn_prefix;
   std::vector<std::string> found;
   auto take = [&found, &turns](const std::string& record, std::int64_t) {
     if (record.rfind(turns, 0) != 0) found.push_back(record);
   };
-  for (int bucket = 0; bucket < voter.bucket_count(); ++bucket) {
+  for (int bucket = 0; bucket < static_cast<int>(voter.records().buckets().size()); ++bucket) {
     std::string after;
-    do after = voter.for_each_attribute(bucket, "c/", after, one_step, take);
+    do after = voter.records().for_each_attribute(bucket, "c/", after, one_step, take);
     while (!after.empty());
   }
   return found;
 }
 
 // Every node clears its own disk: a content goes only if the agreed head is of a later generation.
-static task<> clear_contents(reg::voter voter, reg::proposer group, runtime::handle runtime) {
+static task<> clear_contents(replication::voter voter, consensus::proposer group, runtime::handle runtime) {
   std::map<std::string, std::int64_t> generations;
   std::vector<std::string> removable;
   for (auto& record : conversation_contents(voter)) {
@@ -109,7 +109,7 @@
       // The agreed head is asked for only when our own copy says that something is to be cleared.
       if (local.generation > content->generation) {
         auto read = co_await group.read(key, runtime.now() + second);
-        bool sure = read.end == reg::change_end::settled || read.end == reg::change_end::declined;
+        bool sure = read.known();
         if (sure) agreed = ledger::from_text(read.value).generation;
       }
       known = generations.emplace(key, agreed).first;
@@ -117,18 +117,18 @@
     if (content->generation < known->second) removable.push_back(record.substr(2));
   }
   if (removable.empty()) co_return;
-  group.port().journal().count("herontally_contents_removed_total", static_cast<double>(removable.size()));
-  co_await voter.forget(std::move(removable));
+  group.endpoint().logger().count("herontally_contents_removed_total", static_cast<double>(removable.size()));
+  co_await voter.remove_contents(std::move(removable));
 }
 
-task<> expire_forever(reg::voter voter, reg::proposer group, members::members known) {
-  auto runtime = group.port().runtime();
-  runtime.spawn(expire_programs_forever(voter, runtime, group.port().journal()));
+task<> expire_forever(replication::voter voter, consensus::proposer group, membership::member_list known) {
+  auto runtime = group.endpoint().runtime();
+  runtime.spawn(expire_programs_forever(voter, runtime, group.endpoint().logger()));
   std::string heads_after, receipts_after;
   while (true) {
     co_await runtime.sleep(5 * second + static_cast<microseconds>(runtime.draw(500 * millisecond)));
-    if (voter.current().number == 0) continue;
-    auto live = known.live("hstore");
+    if (voter.current_view().number == 0) continue;
+    auto live = known.live(rpc::node_role::store);
     if (!live.empty() && live.front().name == known.self().name) {
       co_await close_heads(voter, group, runtime, &heads_after);
       co_await shrink_receipts(voter, group, runtime, &receipts_after);
--- a/src/hstore/expiry_programs.cc
+++ b/src/hstore/expiry_programs.cc
@@ -14,7 +14,7 @@
 constexpr int one_step = 300;
 
 // A round that had its promise here may still be under way: its ballot begins with the wall clock.
-bool may_go(std::int64_t wall, const wire::ballot& promised, const std::optional<std::string>& value) {
+bool may_go(std::int64_t wall, const rpc::ballot& promised, const std::optional<std::string>& value) {
   std::int64_t sure = wall - ledger::keep_margin;
   if (promised.counter > sure) return false;
   // Only promised to, and nothing came of it.
@@ -23,26 +23,27 @@
   return head && ledger::is_overdue(*head, sure);
 }
 
-task<> clear_heads(reg::voter voter, runtime::handle runtime, logging::journal journal, int bucket) {
+task<> clear_heads(replication::voter voter, runtime::handle runtime, logging::logger logger, int bucket) {
   std::string after;
   const std::string prefix = std::string("k/") + ledger::program_prefix;
   do {
     std::vector<std::string> overdue;
     auto handle_record = [&](const std::string& record, const std::string& bytes) {
-      auto [promised, value] = reg::voter::parts_of(bytes);
-      if (may_go(runtime.wall(), promised, value)) overdue.push_back(record.substr(2));
+      auto content = replica_storage::unpack_cell(bytes);
+      if (may_go(runtime.wall(), content.promised, content.accepted_value()))
+        overdue.push_back(record.substr(2));
     };
-    after = voter.for_each_record(bucket, prefix, after, one_step, handle_record);
-    auto sure = [runtime](const wire::ballot& promised, const std::optional<std::string>& value) {
+    after = voter.records().for_each_record(bucket, prefix, after, one_step, handle_record);
+    auto sure = [runtime](const rpc::ballot& promised, const std::optional<std::string>& value) {
       return may_go(runtime.wall(), promised, value);
     };
-    int gone = co_await voter.forget_keys(std::move(overdue), sure);
-    journal.count("herontally_programs_expired_total", gone);
+    int gone = co_await voter.remove_registers_if(std::move(overdue), sure);
+    logger.count("herontally_programs_expired_total", gone);
     co_await runtime.sleep(5 * millisecond);
   } while (!after.empty());
 }
 
-task<> clear_turns(reg::voter voter, runtime::handle runtime, logging::journal journal, int bucket) {
+task<> clear_turns(replication::voter voter, runtime::handle runtime, logging::logger logger, int bucket) {
   std::string after;
   const std::string prefix = std::string("c/") + ledger::turn_prefix;
   do {
@@ -50,10 +51,10 @@
     auto handle_record = [&](const std::string& record, std::int64_t kept_until) {
       if (runtime.wall() - ledger::keep_margin > kept_until) overdue.push_back(record.substr(2));
     };
-    after = voter.for_each_attribute(bucket, prefix, after, one_step, handle_record);
+    after = voter.records().for_each_attribute(bucket, prefix, after, one_step, handle_record);
     if (!overdue.empty()) {
-      journal.count("herontally_turns_expired_total", static_cast<double>(overdue.size()));
-      co_await voter.forget(std::move(overdue));
+      logger.count("herontally_turns_expired_total", static_cast<double>(overdue.size()));
+      co_await voter.remove_contents(std::move(overdue));
     }
     co_await runtime.sleep(5 * millisecond);
   } while (!after.empty());
@@ -66,13 +67,13 @@
   return record.rfind(prefix, 0) == 0 ? ledger::kept_until_of(bytes).value_or(never) : never;
 }
 
-task<> expire_programs_forever(reg::voter voter, runtime::handle runtime, logging::journal journal) {
+task<> expire_programs_forever(replication::voter voter, runtime::handle runtime, logging::logger logger) {
   while (true) {
     co_await runtime.sleep(5 * second + static_cast<runtime::microseconds>(runtime.draw(500 * millisecond)));
-    if (voter.current().number == 0) continue;
-    for (int bucket = 0; bucket < voter.bucket_count(); ++bucket) {
-      co_await clear_heads(voter, runtime, journal, bucket);
-      co_await clear_turns(voter, runtime, journal, bucket);
+    if (voter.current_view().number == 0) continue;
+    for (int bucket = 0; bucket < static_cast<int>(voter.records().buckets().size()); ++bucket) {
+      co_await clear_heads(voter, runtime, logger, bucket);
+      co_await clear_turns(voter, runtime, logger, bucket);
     }
   }
 }
--- a/src/hstore/node.h
+++ b/src/hstore/node.h
@@ -8,7 +8,7 @@
 
 class node {
  public:
-  node(runtime::handle runtime, settings::settings place, logging::journal journal);
+  node(runtime::handle runtime, settings::settings place, logging::logger logger);
   ~node();
   runtime::task<std::optional<std::string>> start();
   runtime::task<> leave();
--- a/src/htrace/main.cc
+++ b/src/htrace/main.cc
@@ -2,7 +2,7 @@
 #include <absl/flags/flag.h>
 #include <stdio.h>
 
-#include "members/members.h"
+#include "membership/member_list.h"
 #include "runtime/real.h"
 #include "settings/settings.h"
 
@@ -24,22 +24,22 @@
     "3 nothing reached.\n\nExample:\n  htrace --seeds 127.0.0.1:7101 --revision 12\n";
 
 struct node_trace {
-  wire::member who;
+  rpc::member who;
   bool answered = false;
-  wire::trace_receipt receipt;
+  rpc::trace_reply reply;
 };
 
 static std::int64_t wall_of(const node_trace& node, std::int64_t revision, const char* what,
                             std::string* way) {
   std::int64_t best = 0;
-  for (auto& event : node.receipt.events) {
-    bool later = event.revision >= revision && event.what == what;
+  for (auto& event : node.reply.events) {
+    bool later = event.revision >= revision && event.event == what;
     // A later change that came first carried this one with it.
     if (later && (best == 0 || event.wall < best)) {
       best = event.wall;
       if (way)
-        *way =
-            event.way + (event.revision > revision ? " (with " + std::to_string(event.revision) + ")" : "");
+        *way = event.source +
+               (event.revision > revision ? " (with " + std::to_string(event.revision) + ")" : "");
     }
   }
   return best;
@@ -48,12 +48,13 @@
 static int print(std::vector<node_trace>& nodes, std::int64_t revision, bool as_json) {
   std::int64_t chosen = 0, acknowledged = 0;
   for (auto& node : nodes)
-    for (auto& event : node.receipt.events) {
+    for (auto& event : node.reply.events) {
       if (event.revision != revision) continue;
       // Should the core that chose it have forgotten, the first core's learning of it stands in.
-      bool told = event.what == "chosen" || (event.what == "learned" && node.who.role == "hcore");
+      bool told =
+          event.event == "chosen" || (event.event == "learned" && node.who.role == rpc::node_role::core);
       if (told && (chosen == 0 || event.wall < chosen)) chosen = event.wall;
-      if (event.what == "acknowledged") acknowledged = event.wall;
+      if (event.event == "acknowledged") acknowledged = event.wall;
     }
   auto after = [&](std::int64_t wall) { return static_cast<double>(wall - chosen) / 1000; };
   json out{
@@ -61,10 +62,10 @@
   if (acknowledged) out["acknowledged_ms"] = after(acknowledged);
   for (auto& node : nodes) {
     std::string way;
-    bool door = node.who.role == "hproxy";
+    bool door = node.who.role == rpc::node_role::proxy;
     auto learned = wall_of(node, revision, door ? "in force" : "learned", &way);
     auto forced = wall_of(node, revision, "in force", nullptr);
-    bool concerned = node.who.role == "hcore" || node.who.role == "hagent" || door;
+    bool concerned = node.who.role == rpc::node_role::core || node.who.role == rpc::node_role::agent || door;
     if (!concerned) continue;
     json row{{"node", node.who.name},
              {"role", node.who.role},
@@ -72,7 +73,7 @@
              {"answered", node.answered}};
     if (learned && chosen) row["learned_ms"] = after(learned);
     if (learned) row["way"] = way;
-    if (forced && chosen && node.who.role != "hcore") row["in_force_ms"] = after(forced);
+    if (forced && chosen && node.who.role != rpc::node_role::core) row["in_force_ms"] = after(forced);
     if (!learned) out["lagging"].push_back(node.who.name);
     out["nodes"].push_back(row);
   }
@@ -99,15 +100,15 @@
 
 static task<int> trace(runtime::handle runtime, std::vector<std::string> seeds, std::int64_t revision,
                        bool as_json) {
-  wire::port port(runtime, "htrace", logging::journal("htrace"));
+  rpc::endpoint endpoint(runtime, "htrace", logging::logger("htrace"));
   std::vector<node_trace> nodes;
   for (auto& seed : seeds) {
-    wire::probe question{"", true, {}};
-    auto result = co_await port.ask(seed, std::move(question), 800 * millisecond);
-    auto* receipt = std::get_if<wire::probe_receipt>(&result);
-    if (!receipt) continue;
-    for (auto& each : receipt->rumours)
-      if (each.status == "alive" || each.status == "suspect") nodes.push_back({each, false, {}});
+    rpc::probe_request request{"", true, {}};
+    auto result = co_await endpoint.call(seed, std::move(request), 800 * millisecond);
+    auto* reply = std::get_if<rpc::probe_reply>(&result);
+    if (!reply) continue;
+    for (auto& each : reply->updates)
+      if (each.is_live()) nodes.push_back({each, false, {}});
     if (!nodes.empty()) break;
   }
   if (nodes.empty()) {
@@ -116,15 +117,16 @@
   }
   std::vector<std::string> doors;
   for (auto& node : nodes) {
-    wire::trace_ask question{0};
-    std::string address = node.who.role == "hproxy" ? node.who.http : node.who.inner;
-    auto result = co_await port.ask(address, question, 800 * millisecond);
-    auto* receipt = std::get_if<wire::trace_receipt>(&result);
-    node.answered = receipt != nullptr;
-    if (receipt) node.receipt = *receipt;
-    if (!receipt) continue;
-    for (auto& event : receipt->events) {
-      bool core = receipt->role == "hcore" && (event.what == "chosen" || event.what == "learned");
+    rpc::trace_request request{0};
+    std::string address = node.who.role == rpc::node_role::proxy ? node.who.http : node.who.inner;
+    auto result = co_await endpoint.call(address, request, 800 * millisecond);
+    auto* reply = std::get_if<rpc::trace_reply>(&result);
+    node.answered = reply != nullptr;
+    if (reply) node.reply = *reply;
+    if (!reply) continue;
+    for (auto& event : reply->events) {
+      bool core =
+          reply->role == rpc::node_role::core && (event.event == "chosen" || event.event == "learned");
       if (core && revision < event.revision && absl::GetFlag(FLAGS_revision) == 0) revision = event.revision;
     }
   }
--- a/src/ledger/book.cc
+++ b/src/ledger/book.cc
@@ -6,11 +6,11 @@
 
 namespace herontally::ledger {
 
-using reg::change_end;
+using consensus::change_status;
 using runtime::microseconds;
 using runtime::task;
 
-book::book(reg::proposer stores, std::function<bool(const std::string&, std::int64_t)> gone)
+book::book(consensus::proposer stores, std::function<bool(const std::string&, std::int64_t)> gone)
     : stores_(std::move(stores)), gone_(std::move(gone)) {}
 
 static bool is_content(const std::string& digest, const std::string& body) {
@@ -45,19 +45,19 @@
                                       microseconds deadline) {
   auto needed = std::make_shared<std::string>();
   auto result = std::make_shared<open_result>();
-  auto runtime = stores_.port().runtime();
+  auto runtime = stores_.endpoint().runtime();
   auto gone = gone_;
-  auto journal = stores_.port().journal();
+  auto logger = stores_.endpoint().logger();
   auto mutate = [wish, result, runtime, gone, pages, needed,
-                 journal](const std::optional<std::string>& text) -> std::optional<std::string> {
+                 logger](const std::optional<std::string>& text) -> std::optional<std::string> {
     head now = from_text(text);
     bool changed = false;
     result->before.reset();
     needed->clear();
     if (!now.readable) {
       // Reported and left alone: a head that this version can't read is nobody's to overwrite.
-      journal.error("a program's head can't be read", {{"program", wish.program}});
-      journal.count("herontally_unreadable_records_total");
+      logger.error("a program's head can't be read", {{"program", wish.program}});
+      logger.count("herontally_unreadable_records_total");
       result->end = open_end::unreachable;
       return std::nullopt;
     }
@@ -120,18 +120,18 @@
   step.needed = *needed;
   auto& out = step.result;
   out = *result;
-  switch (changed.end) {
-    case change_end::settled:
-    case change_end::declined:
+  switch (changed.status) {
+    case change_status::committed:
+    case change_status::declined:
       out.now = from_text(changed.value);
       break;
-    case change_end::unknown:
+    case change_status::unknown:
       out.end = open_end::unknown;
       break;
-    case change_end::unreachable:
+    case change_status::unreachable:
       out.end = open_end::unreachable;
       break;
-    case change_end::full:
+    case change_status::disk_full:
       out.end = open_end::full;
       break;
   }
@@ -168,7 +168,7 @@
 task<settle_end> book::settle(turn_wish wish, std::int64_t epoch, ending last, std::int64_t keep_seconds,
                               microseconds deadline) {
   auto mine = std::make_shared<bool>(false);
-  auto runtime = stores_.port().runtime();
+  auto runtime = stores_.endpoint().runtime();
   auto mutate = [wish, epoch, last, keep_seconds, mine,
                  runtime](const std::optional<std::string>& text) -> std::optional<std::string> {
     head now = from_text(text);
@@ -194,7 +194,7 @@
     return to_text(now);
   };
   auto changed = co_await stores_.change(head_key(wish.partner, wish.program), mutate, deadline, true);
-  bool known = changed.end == change_end::settled || changed.end == change_end::declined;
+  bool known = changed.known();
   if (!known) co_return settle_end::unreachable;
   co_return *mine ? settle_end::settled : settle_end::superseded;
 }
@@ -218,7 +218,7 @@
 
 task<std::optional<head>> book::look(std::string partner, std::string program, microseconds deadline) {
   auto result = co_await stores_.read(head_key(partner, program), deadline);
-  if (result.end != change_end::settled && result.end != change_end::declined) co_return std::nullopt;
+  if (!result.known()) co_return std::nullopt;
   auto now = from_text(result.value);
   if (!now.readable) co_return std::nullopt;
   co_return now;
--- a/src/ledger/book.h
+++ b/src/ledger/book.h
@@ -1,8 +1,8 @@
 // What a proxy asks of the ledger. Every answer rests on a majority of the storage machines' synced disks.
 #pragma once
+#include "consensus/proposer.h"
 #include "ledger/head.h"
-#include "members/members.h"
-#include "register/proposer.h"
+#include "membership/member_list.h"
 
 namespace herontally::ledger {
 
@@ -32,7 +32,7 @@
 class book {
  public:
   // `gone` tells whether a proxy's life is known to have ended.
-  book(reg::proposer stores, std::function<bool(const std::string&, std::int64_t)> gone);
+  book(consensus::proposer stores, std::function<bool(const std::string&, std::int64_t)> gone);
   runtime::task<open_result> open_turn(turn_wish wish, runtime::microseconds deadline);
   // The turns that the head names, oldest first, each checked against its digest.
   runtime::task<std::optional<std::vector<turn_content>>> chain(head of, runtime::microseconds deadline);
@@ -52,15 +52,15 @@
   enum class call_end { mine, found, mismatch, unreachable, full, unknown };
   struct call_result {
     call_end end = call_end::unreachable;
-    call_receipt receipt;
+    call_record record;
   };
-  runtime::task<call_result> begin_call(std::string key, call_receipt first, runtime::microseconds deadline);
+  runtime::task<call_result> begin_call(std::string key, call_record first, runtime::microseconds deadline);
   // Moves on the receipt of this request's attempt; false when it no longer is this attempt's, or can't be
   // settled.
-  runtime::task<bool> end_call(std::string key, call_receipt last, runtime::microseconds deadline);
+  runtime::task<bool> end_call(std::string key, call_record last, runtime::microseconds deadline);
   struct call_look {
     bool read = false;  // false: no majority could be asked
-    std::optional<call_receipt> receipt;
+    std::optional<call_record> record;
   };
   runtime::task<call_look> look_call(std::string key, runtime::microseconds deadline);
 
@@ -76,7 +76,7 @@
   runtime::task<> shelve(turn_wish wish, head now, runtime::microseconds deadline);
   runtime::task<settle_end> settle(turn_wish wish, std::int64_t epoch, ending last, std::int64_t keep_seconds,
                                    runtime::microseconds deadline);
-  reg::proposer stores_;
+  consensus::proposer stores_;
   std::function<bool(const std::string&, std::int64_t)> gone_;
 };
 
--- a/src/ledger/book_calls.cc
+++ b/src/ledger/book_calls.cc
@@ -4,14 +4,14 @@
 
 namespace herontally::ledger {
 
-using reg::change_end;
+using consensus::change_status;
 using runtime::microseconds;
 using runtime::task;
 
-task<book::call_result> book::begin_call(std::string key, call_receipt first, microseconds deadline) {
+task<book::call_result> book::begin_call(std::string key, call_record first, microseconds deadline) {
   auto result = std::make_shared<call_result>();
   auto mutate = [first, result](const std::optional<std::string>& text) -> std::optional<std::string> {
-    auto now = receipt_from(text);
+    auto now = call_record_from(text);
     if (now && now->body_digest != first.body_digest) {
       result->end = call_end::mismatch;
       return std::nullopt;
@@ -21,33 +21,33 @@
     if (!free) {
       result->end =
           now->request_id == first.request_id || broken("started") ? call_end::mine : call_end::found;
-      result->receipt = *now;
+      result->record = *now;
       return std::nullopt;
     }
     // This request's own attempt was already ended as not run, by somebody else: it must not come back.
     if (now && now->request_id == first.request_id) {
       result->end = call_end::found;
-      result->receipt = *now;
+      result->record = *now;
       return std::nullopt;
     }
-    call_receipt next = first;
+    call_record next = first;
     next.attempt = now ? now->attempt + 1 : 1;
     result->end = call_end::mine;
-    result->receipt = next;
+    result->record = next;
     return to_text(next);
   };
   auto changed = co_await stores_.change(std::move(key), mutate, deadline);
   call_result out = *result;
-  if (changed.end == change_end::unknown) out.end = call_end::unknown;
-  if (changed.end == change_end::unreachable) out.end = call_end::unreachable;
-  if (changed.end == change_end::full) out.end = call_end::full;
+  if (changed.status == change_status::unknown) out.end = call_end::unknown;
+  if (changed.status == change_status::unreachable) out.end = call_end::unreachable;
+  if (changed.status == change_status::disk_full) out.end = call_end::full;
   co_return out;
 }
 
-task<bool> book::end_call(std::string key, call_receipt last, microseconds deadline) {
+task<bool> book::end_call(std::string key, call_record last, microseconds deadline) {
   auto mine = std::make_shared<bool>(false);
   auto mutate = [last, mine](const std::optional<std::string>& text) -> std::optional<std::string> {
-    auto now = receipt_from(text);
+    auto now = call_record_from(text);
     *mine =
         now && now->request_id == last.request_id && now->attempt == last.attempt && now->state == last.state;
     bool still =
@@ -57,15 +57,15 @@
     return to_text(last);
   };
   auto changed = co_await stores_.change(std::move(key), mutate, deadline, true);
-  bool known = changed.end == change_end::settled || changed.end == change_end::declined;
+  bool known = changed.known();
   co_return known&&* mine;
 }
 
 task<book::call_look> book::look_call(std::string key, microseconds deadline) {
   auto result = co_await stores_.read(std::move(key), deadline);
   call_look look;
-  look.read = result.end == change_end::settled || result.end == change_end::declined;
-  look.receipt = receipt_from(result.value);
+  look.read = result.known();
+  look.record = call_record_from(result.value);
   co_return look;
 }
 
--- a/src/ledger/head.cc
+++ b/src/ledger/head.cc
@@ -113,20 +113,20 @@
 std::string head_key(const std::string& partner, const std::string& program) {
   return "p/" + partner + "/" + program;
 }
-std::string receipt_key(const std::string& partner, const std::string& route, const std::string& key) {
+std::string call_record_key(const std::string& partner, const std::string& route, const std::string& key) {
   // The client's key may hold any bytes and any length; its digest doesn't.
   return "r/" + partner + "/" + route + "/" + digest_of(key).substr(0, 40);
 }
 
-std::string to_text(const call_receipt& content) { return dump(content); }
-std::optional<call_receipt> receipt_from(const std::optional<std::string>& text) {
+std::string to_text(const call_record& content) { return dump(content); }
+std::optional<call_record> call_record_from(const std::optional<std::string>& text) {
   if (!text) return std::nullopt;
   auto document = json::parse(*text, nullptr, false);
-  auto found = document.is_object() ? parse<call_receipt>(dump(with_defaults(document, {{"keep_until", 0}})))
+  auto found = document.is_object() ? parse<call_record>(dump(with_defaults(document, {{"keep_until", 0}})))
                                     : std::nullopt;
   if (found) return found;
   // There is a receipt, whatever it says: the call may have run.
-  call_receipt unread;
+  call_record unread;
   unread.state = "started";
   unread.readable = false;
   return unread;
--- a/src/ledger/head.h
+++ b/src/ledger/head.h
@@ -72,18 +72,18 @@
 std::string digest_of(const std::string& text);
 
 std::string head_key(const std::string& partner, const std::string& program);
-std::string receipt_key(const std::string& partner, const std::string& route, const std::string& key);
+std::string call_record_key(const std::string& partner, const std::string& route, const std::string& key);
 
 // An effectful call's receipt. "started": may have run; "done": ran, with this answer; "not-run": attempt
 // never runs; "gone": ran, and its answer's keeping time is over.
-struct call_receipt {
+struct call_record {
   std::string state, request_id, body_digest, engine, content_type, answer;
   std::int64_t attempt = 0, status = 0, started = 0, keep_until = 0;
   bool readable = true;
-  NLOHMANN_DEFINE_TYPE_INTRUSIVE(call_receipt, state, request_id, body_digest, engine, content_type, answer,
+  NLOHMANN_DEFINE_TYPE_INTRUSIVE(call_record, state, request_id, body_digest, engine, content_type, answer,
                                  attempt, status, started, keep_until)
 };
-std::string to_text(const call_receipt& content);
-std::optional<call_receipt> receipt_from(const std::optional<std::string>& text);
+std::string to_text(const call_record& content);
+std::optional<call_record> call_record_from(const std::optional<std::string>& text);
 
 }  // namespace herontally::ledger
--- a/src/ledger/program_turns.cc
+++ b/src/ledger/program_turns.cc
@@ -44,7 +44,7 @@
 
 task<chain_result> programs::chain(std::string last, microseconds deadline) {
   auto self = state_;
-  auto journal = self->stores.port().journal();
+  auto logger = self->stores.endpoint().logger();
   chain_result result;
   std::set<std::string> seen;
   std::int64_t limit = 4;
@@ -52,12 +52,12 @@
   while (!wanted.empty()) {
     // A ring of turns is nothing that we wrote.
     if (!seen.insert(wanted).second) {
-      journal.count("herontally_unreadable_records_total");
+      logger.count("herontally_unreadable_records_total");
       co_return chain_result{};
     }
     auto* cached = self->cache.find(wanted);
     if (!cached) {
-      journal.count("herontally_chain_fetches_total");
+      logger.count("herontally_chain_fetches_total");
       auto fetched = co_await self->fetch(wanted, limit, deadline);
       if (fetched.end != what::found) {
         fetched.turns.clear();
@@ -85,23 +85,23 @@
 namespace {
 struct chain_word {
   std::string id;
-  std::optional<wire::chain_receipt> receipt;
+  std::optional<rpc::read_chain_reply> reply;
 };
 
-task<> ask_one(wire::port port, std::string address, wire::chain_ask question, microseconds timeout,
-               runtime::mailbox<chain_word> box) {
-  std::string id = question.voter;
-  auto answer = co_await port.ask(std::move(address), std::move(question), timeout);
+task<> ask_one(rpc::endpoint endpoint, std::string address, rpc::read_chain_request request,
+               microseconds timeout, runtime::mailbox<chain_word> box) {
+  std::string id = request.voter;
+  auto answer = co_await endpoint.call(std::move(address), std::move(request), timeout);
   chain_word word;
   word.id = std::move(id);
-  if (auto* receipt = std::get_if<wire::chain_receipt>(&answer)) word.receipt = std::move(*receipt);
+  if (auto* reply = std::get_if<rpc::read_chain_reply>(&answer)) word.reply = std::move(*reply);
   box.push(std::move(word));
 }
 
-std::vector<turn_record> records_in(const wire::chain_receipt& receipt, const std::string& last) {
+std::vector<turn_record> records_in(const rpc::read_chain_reply& reply, const std::string& last) {
   std::vector<turn_record> records;
   std::string expected = last;
-  for (auto& body : receipt.bodies) {
+  for (auto& body : reply.bodies) {
     auto record = turn_record_from(body);
     // A body that isn't the wanted turn's is as good as none.
     if (!record || record->id != expected || expected.empty()) break;
@@ -114,15 +114,15 @@
 
 task<chain_result> programs::state::fetch(std::string last, std::int64_t limit, microseconds deadline) {
   auto self = shared_from_this();
-  auto port = self->stores.port();
-  auto runtime = port.runtime();
+  auto endpoint = self->stores.endpoint();
+  auto runtime = endpoint.runtime();
   // A voter that answers late is not waited for alone; one that lacks the record sends us on at once.
   constexpr microseconds patience = 100 * millisecond, timeout = 600 * millisecond;
   for (int round = 0; runtime.now() < deadline; ++round) {
     if (round > 0) co_await runtime.sleep(20 * millisecond);
-    if (self->stores.current().voters.empty() || round > 0) co_await self->stores.refresh(deadline);
-    reg::view used = self->stores.current();
-    auto places = used.all();
+    if (self->stores.current_view().voters.empty() || round > 0) co_await self->stores.refresh_view(deadline);
+    consensus::view used = self->stores.current_view();
+    auto places = used.all_voters();
     if (places.empty()) continue;
     std::size_t first = runtime.draw(places.size()), asked = 0, heard = 0;
     runtime::mailbox<chain_word> box(runtime);
@@ -133,8 +133,8 @@
       if (asked < places.size()) {
         auto& place = places[(first + asked) % places.size()];
         ++asked;
-        wire::chain_ask question{place.id, turn_key(last), limit, used.number};
-        runtime.spawn(ask_one(port, place.address, std::move(question), std::min(timeout, left), box));
+        rpc::read_chain_request request{place.id, turn_key(last), limit, used.number};
+        runtime.spawn(ask_one(endpoint, place.address, std::move(request), std::min(timeout, left), box));
       }
       microseconds wait = asked < places.size() ? patience : timeout + 50 * millisecond;
       auto word = co_await box.pop(std::min(wait, left));
@@ -143,9 +143,9 @@
         continue;
       }
       ++heard;
-      if (!word->receipt) continue;
+      if (!word->reply) continue;
       chain_result found;
-      found.turns = records_in(*word->receipt, last);
+      found.turns = records_in(*word->reply, last);
       if (!found.turns.empty()) {
         found.end = what::found;
         co_return found;
@@ -153,7 +153,8 @@
       // Only a voter of this view that was asked by its own id speaks for it: one that lost its disk is a
       // unknown voter. A kept turn is at a quorum of the view, so that a quorum without it proves that it
       // isn't kept; while a view changes that takes both majorities.
-      if (word->receipt->verdict == "yes" && word->receipt->bodies.empty()) lacking.insert(word->id);
+      if (word->reply->status == rpc::reply_status::ok && word->reply->bodies.empty())
+        lacking.insert(word->id);
       if (used.quorum([&lacking](const std::string& id) { return lacking.count(id) > 0; })) {
         chain_result none;
         none.end = what::missing;
--- a/src/ledger/programs.cc
+++ b/src/ledger/programs.cc
@@ -7,12 +7,12 @@
 
 namespace herontally::ledger {
 
-using reg::change_end;
+using consensus::change_status;
 using runtime::microseconds;
 using runtime::task;
 using outcome = program_operation::outcome;
 
-programs::programs(reg::proposer stores) : state_(std::make_shared<state>(std::move(stores))) {}
+programs::programs(consensus::proposer stores) : state_(std::make_shared<state>(std::move(stores))) {}
 
 // Applied to the head; true when that changed it. A second run over a head that has the effect finds it
 // there.
@@ -41,7 +41,7 @@
 void programs::state::enqueue(const std::string& program, std::shared_ptr<program_operation> operation) {
   auto [queue, first] = waiting.try_emplace(program);
   queue->second.push_back(std::move(operation));
-  if (first) stores.port().runtime().spawn(work(program));
+  if (first) stores.endpoint().runtime().spawn(work(program));
 }
 
 // While a round is under way, what arrives waits and goes into the next one together.
@@ -58,8 +58,8 @@
 
 task<> programs::state::apply(std::string program, std::vector<std::shared_ptr<program_operation>> batch) {
   auto self = shared_from_this();
-  auto runtime = self->stores.port().runtime();
-  auto journal = self->stores.port().journal();
+  auto runtime = self->stores.endpoint().runtime();
+  auto logger = self->stores.endpoint().logger();
   // The shortest deadline ends the round; the others go into the next one, which their turn ids make
   // harmless.
   microseconds deadline = 0;
@@ -77,7 +77,7 @@
   }
   if (taken.empty()) co_return;
   auto readable = std::make_shared<bool>(true);
-  reg::mutator mutate = [taken, readable, runtime](const std::optional<std::string>& text) {
+  consensus::mutator mutate = [taken, readable, runtime](const std::optional<std::string>& text) {
     std::optional<std::string> next;
     std::optional<program_head> head = program_head{};
     if (text) head = program_head_from(*text);
@@ -93,12 +93,12 @@
     return next;
   };
   auto result = co_await self->stores.change(program_key(program), mutate, deadline, urgent);
-  journal.count("herontally_program_rounds_total");
-  journal.count("herontally_program_operations_total", static_cast<double>(taken.size()));
-  bool known = result.end == change_end::settled || result.end == change_end::declined;
+  logger.count("herontally_program_rounds_total");
+  logger.count("herontally_program_operations_total", static_cast<double>(taken.size()));
+  bool known = result.known();
   if (known && !*readable) {
-    journal.error("a program's head can't be read", {{"program", program}});
-    journal.count("herontally_unreadable_records_total");
+    logger.error("a program's head can't be read", {{"program", program}});
+    logger.count("herontally_unreadable_records_total");
     known = false;
     for (auto& each : taken) each->deadline = 0;
   }
@@ -109,8 +109,8 @@
       each->done.set(outcome::applied);
       continue;
     }
-    each->tried = each->tried || result.end == change_end::unknown;
-    bool over = each->deadline <= runtime.now() || result.end == change_end::full;
+    each->tried = each->tried || result.status == change_status::unknown;
+    bool over = each->deadline <= runtime.now() || result.status == change_status::disk_full;
     if (over)
       each->done.set(each->tried ? outcome::unknown : outcome::unreachable);
     else
@@ -124,7 +124,7 @@
   auto self = state_;
   auto operation = std::make_shared<program_operation>(
       program_operation{false, std::move(turn), budget, most, deadline, false, false,
-                        runtime::slot<outcome>(self->stores.port().runtime())});
+                        runtime::slot<outcome>(self->stores.endpoint().runtime())});
   self->enqueue(program, operation);
   auto end = co_await operation->done.wait();
   if (end == outcome::unreachable) co_return reserve_end::unreachable;
@@ -137,12 +137,12 @@
   auto self = state_;
   auto operation = std::make_shared<program_operation>(
       program_operation{true, std::move(turn), 0, tokens, deadline, false, false,
-                        runtime::slot<outcome>(self->stores.port().runtime())});
+                        runtime::slot<outcome>(self->stores.endpoint().runtime())});
   self->enqueue(program, operation);
   auto end = co_await operation->done.wait();
   if (end == outcome::applied) co_return settle_result::settled;
   // The reservation counts in full from now on, unless this goes through after all.
-  self->stores.port().journal().count("herontally_program_unsettled_total");
+  self->stores.endpoint().logger().count("herontally_program_unsettled_total");
   co_return settle_result::unreachable;
 }
 
--- a/src/ledger/programs.h
+++ b/src/ledger/programs.h
@@ -1,8 +1,8 @@
 // The ledger of programs that branch: budgets over all nodes, and kept turns found by their own ids. Every
 // answer rests on a majority of the storage machines' synced disks.
 #pragma once
+#include "consensus/proposer.h"
 #include "ledger/head.h"
-#include "register/proposer.h"
 
 namespace herontally::ledger {
 
@@ -28,7 +28,7 @@
 
 class programs {
  public:
-  explicit programs(reg::proposer stores);
+  explicit programs(consensus::proposer stores);
   // Reserves the most that a turn may put out, before an engine hears of it. Turns of one program that arrive
   // together at this node share a round.
   runtime::task<reserve_end> reserve(std::string program, std::string turn, std::int64_t budget,
--- a/src/ledger/programs_state.h
+++ b/src/ledger/programs_state.h
@@ -35,11 +35,11 @@
 };
 
 struct programs::state : std::enable_shared_from_this<programs::state> {
-  reg::proposer stores;
+  consensus::proposer stores;
   // A program is listed while its queue is worked through.
   std::unordered_map<std::string, std::vector<std::shared_ptr<program_operation>>> waiting;
   turn_cache cache;
-  explicit state(reg::proposer from) : stores(std::move(from)), cache(24u << 20) {}
+  explicit state(consensus::proposer from) : stores(std::move(from)), cache(24u << 20) {}
   void enqueue(const std::string& program, std::shared_ptr<program_operation> operation);
   runtime::task<> work(std::string program);
   runtime::task<> apply(std::string program, std::vector<std::shared_ptr<program_operation>> batch);
--- a/src/logging/logging.cc
+++ b/src/logging/logging.cc
@@ -28,20 +28,20 @@
   (void)program;
 }
 
-struct journal::state {
+struct logger::state {
   std::string node;
   sink out;
   std::map<std::string, double> values;
   std::map<std::string, bool> counted;
 };
 
-journal::journal(std::string node, sink out) : state_(std::make_shared<state>()) {
+logger::logger(std::string node, sink out) : state_(std::make_shared<state>()) {
   state_->node = std::move(node);
   state_->out = std::move(out);
 }
 
 static void emit(log4cplus::LogLevel level, const char* level_name, const std::string& node,
-                 const journal::sink& out, const std::string& what, json fields) {
+                 const logger::sink& out, const std::string& what, json fields) {
   // Nothing is built for a level that nobody reads.
   if (!out && !root_logger().isEnabledFor(level)) return;
   fields["level"] = level_name;
@@ -54,30 +54,30 @@
   root_logger().log(level, fields.dump(-1, ' ', false, json::error_handler_t::replace));
 }
 
-void journal::debug(const std::string& what, json fields) const {
+void logger::debug(const std::string& what, json fields) const {
   emit(log4cplus::DEBUG_LOG_LEVEL, "debug", state_->node, state_->out, what, std::move(fields));
 }
-void journal::info(const std::string& what, json fields) const {
+void logger::info(const std::string& what, json fields) const {
   emit(log4cplus::INFO_LOG_LEVEL, "info", state_->node, state_->out, what, std::move(fields));
 }
-void journal::warn(const std::string& what, json fields) const {
+void logger::warn(const std::string& what, json fields) const {
   emit(log4cplus::WARN_LOG_LEVEL, "warn", state_->node, state_->out, what, std::move(fields));
 }
-void journal::error(const std::string& what, json fields) const {
+void logger::error(const std::string& what, json fields) const {
   emit(log4cplus::ERROR_LOG_LEVEL, "error", state_->node, state_->out, what, std::move(fields));
 }
 
-void journal::count(const std::string& name, double amount) const {
+void logger::count(const std::string& name, double amount) const {
   state_->values[name] += amount;
   state_->counted[name] = true;
 }
-void journal::gauge(const std::string& name, double value) const { state_->values[name] = value; }
-double journal::value(const std::string& name) const {
+void logger::gauge(const std::string& name, double value) const { state_->values[name] = value; }
+double logger::value(const std::string& name) const {
   auto found = state_->values.find(name);
   return found == state_->values.end() ? 0 : found->second;
 }
 
-std::string journal::metrics() const {
+std::string logger::metrics() const {
   std::string text;
   std::string family;
   for (auto& [name, value] : state_->values) {
--- a/src/logging/logging.h
+++ b/src/logging/logging.h
@@ -14,11 +14,11 @@
 // Called once by each program; a simulated node gets its own sink instead.
 void start(const std::string& program, const std::string& level);
 
-class journal {
+class logger {
  public:
   using sink = std::function<void(const std::string& level, const json& line)>;
   // Without a sink, lines go through log4cplus to standard error.
-  explicit journal(std::string node, sink out = {});
+  explicit logger(std::string node, sink out = {});
   void debug(const std::string& what, json fields = json::object()) const;
   void info(const std::string& what, json fields = json::object()) const;
   void warn(const std::string& what, json fields = json::object()) const;
--- a/src/news/board.cc
+++ b/src/news/board.cc
@@ -55,14 +55,15 @@
   return true;
 }
 
-task<wire::news_receipt> board::answer(wire::news_ask question, std::function<std::int64_t()> age) const {
+task<rpc::config_update_reply> board::answer(rpc::config_update_request request,
+                                             std::function<std::int64_t()> age) const {
   auto here = state_;
-  auto known = std::make_pair(question.engines_epoch, question.engines_sequence);
+  auto known = std::make_pair(request.engines_epoch, request.engines_sequence);
   auto none = [&] {
-    return here->revision <= question.revision &&
+    return here->revision <= request.revision &&
            std::make_pair(here->engines_epoch, here->engines_sequence) <= known;
   };
-  microseconds wait = std::clamp<std::int64_t>(question.wait_milliseconds, 0, 2000) * millisecond;
+  microseconds wait = std::clamp<std::int64_t>(request.wait_milliseconds, 0, 2000) * millisecond;
   if (none() && wait > 0) {
     runtime::slot<bool> bell(here->runtime);
     here->waiting.push_back(bell);
@@ -71,15 +72,15 @@
     here->runtime.cancel(timer);
     std::erase_if(here->waiting, [](auto& each) { return each.is_set(); });
   }
-  wire::news_receipt receipt;
-  receipt.revision = here->revision;
-  if (here->revision > question.revision) receipt.state = here->text;
-  receipt.engines_epoch = here->engines_epoch;
-  receipt.engines_sequence = here->engines_sequence;
-  if (std::make_pair(here->engines_epoch, here->engines_sequence) > known) receipt.engines = here->engines;
-  receipt.age_milliseconds = age();
-  receipt.engines_age_milliseconds = engines_age_milliseconds();
-  co_return receipt;
+  rpc::config_update_reply reply;
+  reply.revision = here->revision;
+  if (here->revision > request.revision) reply.config = here->text;
+  reply.engines_epoch = here->engines_epoch;
+  reply.engines_sequence = here->engines_sequence;
+  if (std::make_pair(here->engines_epoch, here->engines_sequence) > known) reply.engines = here->engines;
+  reply.age_milliseconds = age();
+  reply.engines_age_milliseconds = engines_age_milliseconds();
+  co_return reply;
 }
 
 struct freshness::state {
--- a/src/news/board.h
+++ b/src/news/board.h
@@ -1,7 +1,7 @@
 // The newest desired state and engine list that a node knows, and those who wait for newer ones.
 #pragma once
 #include "desired/record.h"
-#include "wire/wire.h"
+#include "rpc/endpoint.h"
 
 namespace herontally::news {
 
@@ -21,7 +21,8 @@
   std::int64_t engines_age_milliseconds() const;
   // Answers at once when there is news for the asker, else when some comes or the wait is over.
   // `age` is asked for at the moment of answering.
-  runtime::task<wire::news_receipt> answer(wire::news_ask question, std::function<std::int64_t()> age) const;
+  runtime::task<rpc::config_update_reply> answer(rpc::config_update_request request,
+                                                 std::function<std::int64_t()> age) const;
   // Wakes whoever waits, without news.
   void stir() const;
 
--- /dev/null
+++ b/src/reconfiguration/group_move.cc
@@ -0,0 +1,121 @@
+#include "reconfiguration/group_move.h"
+
+#include "reconfiguration/group_catch_up.h"
+#include "reconfiguration/view_install.h"
+#include "runtime/breaks.h"
+
+namespace herontally::reconfiguration {
+
+using runtime::microseconds;
+using runtime::task;
+
+task<std::optional<view>> agreed_view(proposer catalog, std::string group, microseconds deadline) {
+  auto result = co_await catalog.read(view_register_key(group), deadline);
+  if (!result.known() || !result.value) co_return std::nullopt;
+  co_return consensus::view_from_text(*result.value);
+}
+
+consensus::mutator first_view_if_none(view first) {
+  return [first](const std::optional<std::string>& current) -> std::optional<std::string> {
+    if (current) return std::nullopt;
+    return to_text(first);
+  };
+}
+
+// Writes the next view over the one with the number before it, and over no other.
+static task<bool> choose(proposer catalog, view next, microseconds deadline) {
+  std::int64_t expected = next.number - 1;
+  auto mutate = [next, expected](const std::optional<std::string>& text) -> std::optional<std::string> {
+    view current = text ? consensus::view_from_text(*text) : view{};
+    bool other = current.number != expected && !broken("view_number");
+    bool superseded = current.epoch > next.epoch;
+    if (other || superseded) return std::nullopt;
+    return to_text(next);
+  };
+  auto result = co_await catalog.change(view_register_key(next.group), mutate, deadline, true);
+  co_return result.value&& consensus::view_from_text(*result.value) == next;
+}
+
+// A joining voter that holds records may hold stale ones, which could win a later round.
+static task<std::optional<move_error>> check_joining(rpc::endpoint endpoint, std::string group,
+                                                     voter_info joining) {
+  rpc::identify_request request{std::move(group)};
+  auto result = co_await endpoint.call(joining.address, std::move(request), reconfiguration_timeout);
+  auto* reply = std::get_if<rpc::identify_reply>(&result);
+  if (!reply || reply->voter != joining.id) co_return move_error::unreachable;
+  if (!reply->empty || !reply->view.empty()) co_return move_error::not_empty;
+  co_return std::nullopt;
+}
+
+// Why a joint view may be amended: each of its rounds had a majority of the previous voters, and so has each
+// round of the amended view, so that the two never choose apart. Its new voters catch up again under the
+// amended view's own number, from voters that take nothing under the earlier one any more.
+static view next_towards(const view& current, std::vector<voter_info> wanted, std::int64_t epoch) {
+  view next = current;
+  next.number += 1;
+  next.epoch = std::max(current.epoch, epoch);
+  if (!current.joint()) next.previous_voters = current.voters;
+  next.voters = std::move(wanted);
+  if (consensus::same_voters(next.voters, next.previous_voters)) next.previous_voters.clear();
+  return next;
+}
+
+task<move_result> begin_move(proposer group, proposer catalog, std::vector<voter_info> wanted,
+                             std::int64_t epoch, microseconds deadline) {
+  auto current = co_await agreed_view(catalog, group.current_view().group, deadline);
+  if (!current || wanted.empty()) co_return move_error::unreachable;
+  if (epoch != 0 && current->epoch > epoch) co_return move_error::superseded;
+  if (consensus::same_voters(wanted, current->voters)) co_return *current;
+  for (auto& voter : wanted) {
+    if (current->includes(voter.id)) continue;
+    auto unfit = co_await check_joining(group.endpoint(), current->group, voter);
+    if (unfit) co_return *unfit;
+  }
+  view next = next_towards(*current, std::move(wanted), epoch);
+  bool chosen = co_await choose(catalog, next, deadline);
+  if (!chosen) co_return move_error::lost_race;
+  co_return next;
+}
+
+static task<bool> end_joint(proposer group, proposer catalog, view joint, microseconds deadline) {
+  bool caught_up = co_await catch_up_group(group, joint, deadline);
+  if (!caught_up) co_return false;
+  view last = joint;
+  last.number += 1;
+  last.previous_voters.clear();
+  bool chosen = co_await choose(catalog, last, deadline);
+  if (!chosen) co_return false;
+  co_return co_await install_at_quorum(group, last, joint.leaving(), deadline);
+}
+
+task<bool> finish_move(proposer group, proposer catalog, microseconds deadline) {
+  auto current = co_await agreed_view(catalog, group.current_view().group, deadline);
+  if (!current) co_return false;
+  // Chosen, but perhaps not yet installed by a quorum; installing again is harmless.
+  bool to_install = current->joint() || current->number > group.current_view().number;
+  if (!to_install) co_return true;
+  bool installed = co_await install_chosen(group, *current, deadline);
+  if (!installed || !current->joint()) co_return installed;
+  co_return co_await end_joint(group, catalog, *current, deadline);
+}
+
+task<move_result> replace_voter(proposer group, proposer catalog, replacement wanted, microseconds deadline) {
+  auto current = co_await agreed_view(catalog, group.current_view().group, deadline);
+  if (!current) co_return move_error::unreachable;
+  if (current->joint()) {
+    bool finished = co_await finish_move(group, catalog, deadline);
+    co_return finished ? move_error::lost_race : move_error::unreachable;
+  }
+  if (current->includes(wanted.arriving.id)) co_return move_error::already_there;
+  if (!current->includes(wanted.leaving)) co_return move_error::not_a_voter;
+  auto voters = current->voters;
+  for (auto& voter : voters)
+    if (voter.id == wanted.leaving) voter = wanted.arriving;
+  auto begun = co_await begin_move(group, catalog, std::move(voters), current->epoch, deadline);
+  if (std::holds_alternative<move_error>(begun)) co_return begun;
+  bool finished = co_await finish_move(group, catalog, deadline);
+  if (!finished) co_return move_error::unreachable;
+  co_return group.current_view();
+}
+
+}  // namespace herontally::reconfiguration
