--- /dev/null
+++ b/src/replica_storage/bucket_owner.cc
@@ -0,0 +1,105 @@
+// The owner of a bucket: takes the queued commands, makes their changes durable with one sync, completes
+// them.
+#include "replica_storage/record_store_state.h"
+
+namespace herontally::replica_storage {
+
+using runtime::microseconds;
+using runtime::millisecond;
+using runtime::task;
+
+// On a busy disk a short wait lets more commands share a sync, during which the whole process stands still.
+constexpr microseconds commit_spacing = 15 * millisecond;
+// A batch is in memory several times while it is packed and written.
+constexpr std::size_t max_batch_commands = 256;
+constexpr std::size_t max_batch_bytes = 512 << 10;
+constexpr microseconds no_timeout = -1;
+
+std::optional<std::string> bucket::read(const staged_changes& staged, const std::string& record) const {
+  auto found = staged.find(record);
+  return found != staged.end() ? found->second : store.read(record);
+}
+
+bool bucket::contains(const staged_changes& staged, const std::string& record) const {
+  auto found = staged.find(record);
+  return found != staged.end() ? found->second.has_value() : store.contains(record);
+}
+
+static commit_result result_of(const std::optional<storage::error>& failed) {
+  if (!failed) return commit_result::durable;
+  return failed == storage::error::full ? commit_result::disk_full : commit_result::failed;
+}
+
+task<> record_store::state::commit_batch(bucket* owned, std::vector<command*> commands, bool urgent) {
+  auto self = shared_from_this();
+  staged_changes staged;
+  std::vector<command::completion> completions;
+  for (auto* each : commands) completions.push_back(each->apply(staged));
+  std::optional<storage::error> failed;
+  std::vector<std::string> turns;
+  if (!staged.empty()) {
+    std::vector<storage::change> changes;
+    for (auto& [record, value] : staged) {
+      if (record.starts_with(turn_record_prefix)) turns.push_back(record);
+      changes.push_back({record, std::move(value)});
+    }
+    staged.clear();
+    failed = co_await owned->store.commit(std::move(changes), urgent);
+  }
+  // From now on the store itself tells in which bucket they are.
+  if (!failed)
+    for (auto& turn : turns) self->pending_turns.erase(turn);
+  for (auto& complete : completions) complete(result_of(failed));
+}
+
+task<> record_store::state::wait_for_company(bucket* owned) {
+  bool busy = owned == buckets[0].get() || owned == buckets[turn_bucket].get();
+  microseconds next = owned->last_commit + commit_spacing;
+  if (busy && owned->last_commit > 0 && runtime.now() < next) co_await runtime.sleep(next - runtime.now());
+}
+
+// Urgent commands don't share a batch with others whose lack of capacity would sink them.
+task<> record_store::state::commit_by_urgency(bucket* owned, std::vector<command> commands,
+                                              std::size_t bytes) {
+  auto self = shared_from_this();
+  std::vector<command*> urgent, usual;
+  for (auto& each : commands) (each.urgent ? urgent : usual).push_back(&each);
+  if (owned->store.has_capacity(bytes, false)) {
+    urgent.insert(urgent.end(), usual.begin(), usual.end());
+    usual.clear();
+  }
+  if (!urgent.empty()) co_await self->commit_batch(owned, std::move(urgent), true);
+  if (!usual.empty()) co_await self->commit_batch(owned, std::move(usual), false);
+}
+
+task<> record_store::state::run_owner(bucket* owned) {
+  auto self = shared_from_this();
+  while (true) {
+    auto first = co_await owned->queue.pop(no_timeout);
+    if (!first) continue;
+    if (first->exclusive) {
+      co_await first->exclusive();
+      continue;
+    }
+    co_await self->wait_for_company(owned);
+    std::vector<command> commands;
+    std::size_t bytes = first->bytes;
+    commands.push_back(std::move(*first));
+    std::optional<command> exclusive;
+    while (!owned->queue.empty() && commands.size() < max_batch_commands && bytes < max_batch_bytes &&
+           !exclusive) {
+      auto next = co_await owned->queue.pop(0);
+      if (next && next->exclusive) {
+        exclusive = std::move(next);
+      } else if (next) {
+        bytes += next->bytes;
+        commands.push_back(std::move(*next));
+      }
+    }
+    co_await self->commit_by_urgency(owned, std::move(commands), bytes);
+    owned->last_commit = self->runtime.now();
+    if (exclusive) co_await exclusive->exclusive();
+  }
+}
+
+}  // namespace herontally::replica_storage
--- /dev/null
+++ b/src/replication/acceptor.cc
@@ -0,0 +1,253 @@
+#include "replication/acceptor.h"
+
+#include <algorithm>
+
+#include "runtime/breaks.h"
+
+namespace herontally::replication {
+
+using replica_storage::cell;
+using replica_storage::command;
+using replica_storage::commit_result;
+using replica_storage::staged_changes;
+using rpc::reply_status;
+using rpc::vote_phase;
+using runtime::task;
+
+namespace {
+
+// New work is refused at its first phase unless this much is free, so that nothing half-begun is left of it.
+constexpr std::size_t capacity_for_accept = 4096;
+// What a cell adds to the disk besides keys and values.
+constexpr std::size_t cell_overhead_bytes = 64;
+// A reply holds no more than this; the sender goes on from the last body or record that it got.
+constexpr std::size_t max_chain_bytes = 8u << 20;
+constexpr std::size_t max_page_bytes = 256 << 10;
+constexpr std::int64_t max_listed_records = 5000;
+
+// `none`: nothing stands against the request.
+reply_status check_identity(const replica& self, const std::string& requested) {
+  return self.identity == requested ? reply_status::none : reply_status::unknown_voter;
+}
+
+// The view 0 stands for any.
+bool is_other_view(const replica& self, std::int64_t requested) {
+  return requested != 0 && requested != self.current_view.number;
+}
+
+reply_status status_of(commit_result result) {
+  switch (result) {
+    case commit_result::durable:
+      return reply_status::ok;
+    case commit_result::disk_full:
+      return reply_status::disk_full;
+    case commit_result::failed:
+      return reply_status::failed;
+  }
+  return reply_status::failed;
+}
+
+// Why a vote is refused before it is queued; `none`: it isn't. The reply also names the installed view.
+void check_vote(const replica& self, const rpc::vote_request& request, rpc::vote_reply& reply) {
+  reply.status = check_identity(self, request.voter);
+  // Only the view that this voter has installed counts: whoever has another one is told which.
+  bool other_view = request.view != self.current_view.number && !broken("view");
+  if (reply.status == reply_status::none && other_view) reply.status = reply_status::view_mismatch;
+  if (!self.current_view.voters.empty()) reply.view = to_text(self.current_view);
+  if (!self.serving()) reply.status = reply_status::failed;
+}
+
+// The acceptor's decision on one cell. True when it changed.
+bool decide(const rpc::vote_request& request, cell& content, reply_status& status) {
+  bool any_ballot = broken("promise");
+  if (request.phase == vote_phase::prepare && (request.ballot > content.promised || any_ballot)) {
+    content.promised = request.ballot;
+    status = reply_status::ok;
+    return true;
+  }
+  if (request.phase == vote_phase::accept && (request.ballot >= content.promised || any_ballot)) {
+    content.promised = content.accepted = request.ballot;
+    content.value = request.value;
+    if (request.promise_next && !broken("ahead")) content.promised.counter += 1;
+    status = reply_status::ok;
+    return true;
+  }
+  status = request.phase == vote_phase::read ? reply_status::ok : reply_status::ballot_outdated;
+  return false;
+}
+
+}  // namespace
+
+task<rpc::vote_reply> vote(std::shared_ptr<replica> self, rpc::vote_request request) {
+  rpc::vote_reply reply;
+  check_vote(*self, request, reply);
+  if (reply.status != reply_status::none) co_return reply;
+  reply.view.clear();
+  std::string record = replica_storage::register_record(request.key);
+  auto& bucket = self->records.bucket_of(record);
+  bool is_new_work = request.phase == vote_phase::prepare && !request.urgent;
+  if (is_new_work && !bucket.store.has_capacity(capacity_for_accept, false)) {
+    self->endpoint.logger().count("herontally_disk_full_total");
+    reply.status = reply_status::disk_full;
+    co_return reply;
+  }
+  runtime::slot<rpc::vote_reply> done(self->endpoint.runtime());
+  command ballot;
+  ballot.urgent = request.urgent;
+  ballot.bytes =
+      2 * record.size() + request.value.size() + cell_overhead_bytes + bucket.store.value_bytes(record);
+  ballot.apply = [self, &bucket, record, request, reply, done](staged_changes& staged) mutable {
+    auto bytes = bucket.read(staged, record);
+    cell content = bytes ? replica_storage::unpack_cell(*bytes) : cell{};
+    bool moved_on = self->current_view.number != request.view && !broken("view");
+    if (moved_on || self->wiping)
+      reply.status = reply_status::view_mismatch;
+    else if (decide(request, content, reply.status))
+      staged[record] = replica_storage::pack(content);
+    reply.promised = content.promised;
+    reply.accepted = content.accepted;
+    // A proposer that has just sent the value doesn't need it back.
+    if (request.phase != vote_phase::accept) reply.value = content.value;
+    return [self, request, reply, done](commit_result result) mutable {
+      if (result != commit_result::durable) {
+        reply = rpc::vote_reply{};
+        reply.status = status_of(result);
+      }
+      bool accepted = request.phase == vote_phase::accept && reply.status == reply_status::ok;
+      if (accepted && self->on_accepted) self->on_accepted(request.key, request.value);
+      done.set(reply);
+    };
+  };
+  bucket.queue.push(std::move(ballot));
+  co_return co_await done.wait();
+}
+
+task<rpc::put_content_reply> put_content(std::shared_ptr<replica> self, rpc::put_content_request request) {
+  rpc::put_content_reply reply;
+  reply.status = check_identity(*self, request.voter);
+  if (self->wiping) reply.status = reply_status::failed;
+  if (reply.status == reply_status::none && is_other_view(*self, request.view))
+    reply.status = reply_status::view_mismatch;
+  if (reply.status != reply_status::none) co_return reply;
+  std::string record = replica_storage::content_record(request.digest);
+  auto& bucket = self->records.bucket_for_write(record, request.body.size());
+  runtime::slot<reply_status> done(self->endpoint.runtime());
+  command put;
+  put.urgent = request.urgent;
+  put.bytes = record.size() + request.body.size();
+  // Only one copy of the body is queued, and goes on to the disk.
+  put.apply = [self, &bucket, record, view = request.view, body = std::move(request.body),
+               done](staged_changes& staged) mutable {
+    bool refused = is_other_view(*self, view) || self->wiping;
+    // Contents never change, so that one which is there already is right.
+    if (!refused && !bucket.contains(staged, record)) staged[record] = std::move(body);
+    return [done, refused](commit_result result) {
+      done.set(refused ? reply_status::view_mismatch : status_of(result));
+    };
+  };
+  bucket.queue.push(std::move(put));
+  reply.status = co_await done.wait();
+  co_return reply;
+}
+
+// The first line of a content is JSON that names the content before it; after it there may be any bytes.
+static std::string previous_of(const std::string& body) {
+  auto line = static_cast<std::ptrdiff_t>(std::min(body.find('\n'), body.size()));
+  auto document = nlohmann::json::parse(body.begin(), body.begin() + line, nullptr, false);
+  return document.is_object() ? document.value("previous", "") : "";
+}
+
+rpc::read_chain_reply read_chain(const replica& self, const rpc::read_chain_request& request) {
+  rpc::read_chain_reply reply;
+  reply.status = check_identity(self, request.voter);
+  bool other_view = request.view != self.current_view.number;
+  if (reply.status == reply_status::none && other_view) reply.status = reply_status::view_mismatch;
+  if (!self.serving()) reply.status = reply_status::failed;
+  if (reply.status == reply_status::none) reply.status = reply_status::ok;
+  std::string digest = request.digest;
+  std::size_t bytes = 0;
+  while (!digest.empty() && reply.bodies.size() < static_cast<std::size_t>(request.limit)) {
+    auto body = self.records.read(replica_storage::content_record(digest));
+    if (!body || (bytes > 0 && bytes + body->size() > max_chain_bytes)) break;
+    bytes += body->size();
+    digest = previous_of(*body);
+    reply.bodies.push_back(std::move(*body));
+  }
+  return reply;
+}
+
+rpc::list_records_reply list_records(const replica& self, const rpc::list_records_request& request) {
+  rpc::list_records_reply reply;
+  reply.status = check_identity(self, request.voter);
+  if (reply.status == reply_status::none && is_other_view(self, request.view))
+    reply.status = reply_status::view_mismatch;
+  if (reply.status != reply_status::none) return reply;
+  reply.status = reply_status::ok;
+  // The buckets' records, merged in order.
+  std::map<std::string, replica_storage::cell_ballots> merged;
+  auto limit = static_cast<std::size_t>(std::clamp<std::int64_t>(request.limit, 1, max_listed_records));
+  for (auto& bucket : self.records.buckets()) {
+    std::size_t listed = 0;
+    auto take = [&](const storage::listed_record& record) {
+      bool in_range = request.range < 0 || static_cast<std::int64_t>(record.range) == request.range;
+      if (replica_storage::is_own_record(record.key) || !in_range) return true;
+      merged[record.key] = replica_storage::ballots_of(record);
+      return ++listed <= limit;
+    };
+    bucket->store.list_from(replica_storage::just_after(request.after), take);
+  }
+  for (auto& [record, ballots] : merged) {
+    if (reply.keys.size() == limit) {
+      reply.more = true;
+      break;
+    }
+    reply.keys.push_back(record);
+    reply.ballots.push_back(ballots.accepted);
+    reply.promised.push_back(ballots.promised);
+  }
+  return reply;
+}
+
+rpc::read_records_reply read_records(const replica& self, const rpc::read_records_request& request) {
+  rpc::read_records_reply reply;
+  reply.status = reply_status::ok;
+  if (request.view != self.current_view.number) reply.status = reply_status::view_mismatch;
+  if (request.voter != self.identity) reply.status = reply_status::unknown_voter;
+  if (!self.serving()) reply.status = reply_status::failed;
+  if (reply.status != reply_status::ok) return reply;
+  std::size_t bytes = 0;
+  for (auto& record : request.records) {
+    if (!reply.values.empty() && bytes > max_page_bytes) break;
+    bool stored = self.records.contains(record);
+    auto value = self.records.read(record);
+    // It is here but can't be read: another voter has to be the source.
+    if (stored && !value) {
+      reply.status = reply_status::failed;
+      reply.values.clear();
+      return reply;
+    }
+    reply.values.push_back(value.value_or(""));
+    bytes += reply.values.back().size() + record.size();
+  }
+  return reply;
+}
+
+rpc::checksums_reply checksums(const replica& self, const rpc::checksums_request& request) {
+  rpc::checksums_reply reply;
+  reply.status = check_identity(self, request.voter);
+  if (reply.status != reply_status::none) return reply;
+  reply.status = reply_status::ok;
+  reply.checksums = self.records.checksums();
+  return reply;
+}
+
+rpc::identify_reply identify(const replica& self, const rpc::identify_request& request) {
+  rpc::identify_reply reply;
+  if (request.group != self.group || self.wiping) return reply;
+  reply.voter = self.identity;
+  if (!self.current_view.voters.empty()) reply.view = to_text(self.current_view);
+  reply.empty = self.records.empty();
+  return reply;
+}
+
+}  // namespace herontally::replication
--- /dev/null
+++ b/src/replication/catch_up.cc
@@ -0,0 +1,198 @@
+#include "replication/catch_up.h"
+
+#include <algorithm>
+
+#include "runtime/breaks.h"
+
+namespace herontally::replication {
+
+using consensus::view;
+using consensus::voter_info;
+using replica_storage::cell;
+using replica_storage::command;
+using replica_storage::commit_result;
+using replica_storage::staged_changes;
+using rpc::reply_status;
+using runtime::microseconds;
+using runtime::millisecond;
+using runtime::task;
+
+namespace {
+
+constexpr microseconds page_timeout = 1500 * millisecond;
+// After this long another source is asked beside a slow one.
+constexpr microseconds slow_source_time = 1000 * millisecond;
+constexpr std::size_t page_records = 256;
+constexpr std::int64_t listed_at_once = 1000;
+
+// Takes a copy of a register into our cell, by the acceptor's rule. False when a promise of ours stands
+// against it.
+bool merge_copy(const cell& copy, cell& own) {
+  bool newer = copy.accepted > own.accepted;
+  bool refused = newer && copy.accepted < own.promised;
+  if (newer && !refused) {
+    own.promised = own.accepted = copy.accepted;
+    own.value = copy.value;
+  }
+  if (!broken("fill_promise")) own.promised = std::max(own.promised, copy.promised);
+  return !refused;
+}
+
+}  // namespace
+
+runtime::slot<bool> catch_up::take_copy(const std::string& record, std::string bytes,
+                                        refused_records refused) {
+  runtime::slot<bool> done(replica_->endpoint.runtime());
+  auto& bucket = replica_->records.bucket_for_write(record, bytes.size());
+  command take;
+  take.urgent = true;
+  take.bytes = bytes.size();
+  take.apply = [&bucket, record, bytes = std::move(bytes), refused, done](staged_changes& staged) {
+    if (!replica_storage::is_register(record)) {
+      if (!bucket.contains(staged, record)) staged[record] = bytes;
+    } else {
+      auto stored = bucket.read(staged, record);
+      cell own = stored ? replica_storage::unpack_cell(*stored) : cell{};
+      bool taken = merge_copy(replica_storage::unpack_cell(bytes), own);
+      if (!taken) refused->insert(record);
+      staged[record] = replica_storage::pack(own);
+    }
+    return [done](commit_result result) { done.set(result == commit_result::durable); };
+  };
+  bucket.queue.push(std::move(take));
+  return done;
+}
+
+task<bool> catch_up::fetch_records(voter_info source, std::int64_t view, std::vector<std::string> records,
+                                   refused_records refused) {
+  auto self = shared_from_this();
+  std::vector<runtime::slot<bool>> waits;
+  std::size_t fetched = 0;
+  while (fetched < records.size()) {
+    rpc::read_records_request request{source.id, view, {}};
+    auto end = std::min(records.size(), fetched + page_records);
+    for (std::size_t next = fetched; next < end; ++next) request.records.push_back(records[next]);
+    auto result = co_await self->replica_->endpoint.call(source.address, std::move(request), page_timeout);
+    auto* reply = std::get_if<rpc::read_records_reply>(&result);
+    if (!reply || reply->status != reply_status::ok || reply->values.empty()) co_return false;
+    for (auto& value : reply->values) {
+      if (fetched == records.size()) break;
+      // Removed since it was listed: nobody needs it any more.
+      if (!value.empty()) waits.push_back(self->take_copy(records[fetched], std::move(value), refused));
+      ++fetched;
+    }
+  }
+  bool all = true;
+  for (auto& wait : waits) {
+    bool durable = co_await wait.wait();
+    all = all && durable;
+  }
+  co_return all;
+}
+
+bool catch_up::is_missing(const std::string& record, const replica_storage::cell_ballots& listed) const {
+  if (!replica_storage::is_register(record)) return !replica_->records.contains(record);
+  auto stored = replica_->records.read(record);
+  if (!stored) return true;
+  auto own = replica_storage::unpack_ballots(*stored);
+  return listed.accepted > own.accepted || listed.promised > own.promised;
+}
+
+task<bool> catch_up::fetch_all(voter_info source, std::int64_t view, refused_records refused) {
+  auto self = shared_from_this();
+  constexpr std::int64_t any_range = -1;
+  std::string after;
+  while (self->replica_->current_view.number == view) {
+    rpc::list_records_request request{source.id, after, listed_at_once, any_range, view};
+    auto result = co_await self->replica_->endpoint.call(source.address, std::move(request), page_timeout);
+    auto* reply = std::get_if<rpc::list_records_reply>(&result);
+    if (!reply || reply->status != reply_status::ok) co_return false;
+    std::vector<std::string> missing;
+    for (std::size_t position = 0; position < reply->keys.size() && position < reply->ballots.size();
+         ++position) {
+      replica_storage::cell_ballots listed;
+      listed.accepted = reply->ballots[position];
+      if (position < reply->promised.size()) listed.promised = reply->promised[position];
+      if (self->is_missing(reply->keys[position], listed)) missing.push_back(reply->keys[position]);
+    }
+    bool taken = co_await self->fetch_records(source, view, std::move(missing), refused);
+    if (!taken) co_return false;
+    if (!reply->more || reply->keys.empty()) co_return true;
+    after = reply->keys.back();
+  }
+  co_return false;
+}
+
+task<> catch_up::report_source(voter_info source, std::int64_t view, refused_records refused,
+                               runtime::mailbox<source_result> results) {
+  auto self = shared_from_this();
+  std::string voter = source.id;
+  bool complete = co_await self->fetch_all(std::move(source), view, std::move(refused));
+  results.push({voter, complete});
+}
+
+// One source after the other, since the first one brings nearly everything; the next one begins beside it
+// when it is slow, so that a slow disk or machine among the sources doesn't hold up the rest.
+task<bool> catch_up::fetch_majority(view joint, refused_records refused) {
+  auto self = shared_from_this();
+  auto runtime = self->replica_->endpoint.runtime();
+  auto& own_id = self->replica_->identity;
+  std::set<std::string> complete;
+  auto is_complete = [&complete](const std::string& voter) { return complete.count(voter) > 0; };
+  // A voter that stays is one of the previous voters as well; its own records are here already.
+  if (consensus::contains(joint.previous_voters, own_id)) complete.insert(own_id);
+  std::vector<voter_info> sources;
+  for (auto& voter : joint.previous_voters)
+    if (voter.id != own_id) sources.push_back(voter);
+  // Several joining voters don't all begin at the same source.
+  auto first = sources.empty() ? 0 : runtime.draw(sources.size());
+  std::rotate(sources.begin(), sources.begin() + static_cast<std::ptrdiff_t>(first), sources.end());
+  runtime::mailbox<source_result> results(runtime);
+  std::size_t begun = 0, ended = 0;
+  while (!consensus::has_majority(joint.previous_voters, is_complete)) {
+    if (begun == sources.size() && ended == begun) co_return false;
+    if (begun < sources.size())
+      runtime.spawn(self->report_source(sources[begun++], joint.number, refused, results));
+    auto result = co_await results.pop(begun < sources.size() ? slow_source_time : page_timeout);
+    if (self->replica_->current_view.number != joint.number) co_return false;
+    if (!result) continue;
+    ++ended;
+    if (result->complete) complete.insert(result->voter);
+  }
+  co_return true;
+}
+
+task<> catch_up::run(view joint) {
+  auto self = shared_from_this();
+  auto refused = std::make_shared<std::set<std::string>>();
+  bool done = co_await self->fetch_majority(joint, refused);
+  rpc::catch_up_reply reply;
+  bool current = self->replica_->current_view.number == joint.number;
+  reply.status = done && current ? reply_status::ok : reply_status::failed;
+  reply.refused.assign(refused->begin(), refused->end());
+  auto waiting = std::exchange(self->waiting_, {});
+  self->running_view_ = 0;
+  if (done) self->completed_ = {joint.number, reply};
+  for (auto& wait : waiting) wait.set(reply);
+}
+
+task<rpc::catch_up_reply> catch_up::serve(rpc::catch_up_request request) {
+  auto self = shared_from_this();
+  auto& replica = *self->replica_;
+  rpc::catch_up_reply refusal;
+  refusal.status = reply_status::failed;
+  bool for_us = request.voter == replica.identity && request.view == replica.current_view.number;
+  if (!for_us || replica.wiping || !replica.current_view.joint()) co_return refusal;
+  if (self->completed_.view == request.view) co_return self->completed_.reply;
+  bool other_runs = self->running_view_ != 0 && self->running_view_ != request.view;
+  if (other_runs) co_return refusal;
+  runtime::slot<rpc::catch_up_reply> done(replica.endpoint.runtime());
+  self->waiting_.push_back(done);
+  if (self->running_view_ == 0) {
+    self->running_view_ = request.view;
+    replica.endpoint.runtime().spawn(self->run(replica.current_view));
+  }
+  co_return co_await done.wait();
+}
+
+}  // namespace herontally::replication
--- /dev/null
+++ b/src/replication/view_installer.cc
@@ -0,0 +1,72 @@
+#include "replication/view_installer.h"
+
+#include "runtime/breaks.h"
+
+namespace herontally::replication {
+
+using consensus::view;
+using rpc::reply_status;
+using runtime::task;
+
+constexpr runtime::microseconds poll_pause = 2 * runtime::millisecond;
+
+task<bool> reset(std::shared_ptr<replica> self) {
+  self->current_view = view{};
+  if (self->on_reset) self->on_reset();
+  auto runtime = self->endpoint.runtime();
+  self->identity = broken("identity") ? self->endpoint.sender() : runtime.random_name();
+  bool done = co_await self->records.reset(self->identity);
+  self->endpoint.logger().info("voter begins empty", {{"group", self->group}, {"voter", self->identity}});
+  co_return done;
+}
+
+task<bool> view_installer::wipe() {
+  auto self = replica_;
+  self->wiping = true;
+  bool done = co_await reset(self);
+  self->wiping = !done;
+  co_return done;
+}
+
+task<bool> view_installer::write(view chosen) {
+  auto self = replica_;
+  installing_ = chosen;
+  // The buckets' owners do the writing, so that none of their batches is cut in two.
+  bool durable = co_await self->records.put_everywhere(replica_storage::view_record, to_text(chosen));
+  if (installing_ == chosen) installing_.reset();
+  if (!durable) co_return false;
+  if (chosen.number > self->current_view.number) self->current_view = chosen;
+  self->endpoint.logger().info("view installed", {{"group", self->group}, {"view", chosen.number}});
+  if (handler_) handler_(self->current_view);
+  co_return true;
+}
+
+task<bool> view_installer::install(view chosen) {
+  auto self = replica_;
+  auto& current = self->current_view;
+  if (chosen.number <= current.number) co_return chosen.number == current.number&& chosen == current;
+  bool left_out = !chosen.includes(self->identity);
+  if (broken("early_wipe")) left_out = left_out || !consensus::contains(chosen.voters, self->identity);
+  // What is stored here may be stale, and must never vote again. A voter without a view belongs to none yet.
+  if (left_out && current.number == 0) co_return false;
+  if (left_out) co_return co_await wipe();
+  // No other view of the same number may pass the one that is being written.
+  if (installing_ && chosen.number <= installing_->number && chosen != *installing_) co_return false;
+  if (installing_ && *installing_ == chosen) {
+    while (installing_ && *installing_ == chosen) co_await self->endpoint.runtime().sleep(poll_pause);
+    co_return current == chosen;
+  }
+  co_return co_await write(std::move(chosen));
+}
+
+task<rpc::install_view_reply> view_installer::serve(rpc::install_view_request request) {
+  auto chosen = consensus::view_from_text(request.view);
+  bool usable = chosen.group == replica_->group && chosen.number > 0;
+  if (usable && request.voter != replica_->identity)
+    co_return rpc::install_view_reply{reply_status::unknown_voter};
+  bool done = false;
+  if (usable) done = co_await install(std::move(chosen));
+  co_return rpc::install_view_reply{done ? reply_status::ok : reply_status::failed};
+}
+
+}  // namespace herontally::replication
--- /dev/null
+++ b/src/replication/voter.cc
@@ -0,0 +1,131 @@
+#include "replication/voter.h"
+
+#include "replication/acceptor.h"
+#include "replication/catch_up.h"
+#include "replication/repair.h"
+#include "replication/view_installer.h"
+
+namespace herontally::replication {
+
+using consensus::view;
+using runtime::task;
+
+struct voter::state {
+  std::shared_ptr<replica> shared;
+  view_installer installer;
+  std::shared_ptr<catch_up> filler;
+
+  state(rpc::endpoint endpoint, voter_options options)
+      : shared(std::make_shared<replica>(std::move(endpoint), std::move(options))),
+        installer(shared),
+        filler(std::make_shared<catch_up>(shared)) {
+    shared->on_reset = [weak = std::weak_ptr<catch_up>(filler)] {
+      if (auto here = weak.lock()) here->reset();
+    };
+  }
+};
+
+voter::voter(rpc::endpoint endpoint, voter_options options)
+    : state_(std::make_shared<state>(std::move(endpoint), std::move(options))) {}
+
+const std::string& voter::id() const { return state_->shared->identity; }
+const view& voter::current_view() const { return state_->shared->current_view; }
+const replica_storage::record_store& voter::records() const { return state_->shared->records; }
+void voter::on_view(std::function<void(const view&)> handler) {
+  state_->installer.on_installed(std::move(handler));
+}
+void voter::on_accepted(std::function<void(const std::string&, const std::string&)> handler) {
+  state_->shared->on_accepted = std::move(handler);
+}
+
+// Registers the handlers of all requests to a voter.
+static void serve_requests(std::shared_ptr<replica> self, view_installer* installer,
+                           std::shared_ptr<catch_up> filler, std::shared_ptr<void> owner) {
+  auto endpoint = self->endpoint;
+  endpoint.serve<rpc::vote_request>(
+      [self](rpc::vote_request request) { return vote(self, std::move(request)); });
+  endpoint.serve<rpc::put_content_request>(
+      [self](rpc::put_content_request request) { return put_content(self, std::move(request)); });
+  endpoint.serve<rpc::repair_record_request>(
+      [self](rpc::repair_record_request request) { return take_repaired(self, std::move(request)); });
+  endpoint.serve<rpc::read_chain_request>(
+      [self](rpc::read_chain_request request) -> task<rpc::read_chain_reply> {
+        co_return read_chain(*self, request);
+      });
+  endpoint.serve<rpc::list_records_request>(
+      [self](rpc::list_records_request request) -> task<rpc::list_records_reply> {
+        co_return list_records(*self, request);
+      });
+  endpoint.serve<rpc::read_records_request>(
+      [self](rpc::read_records_request request) -> task<rpc::read_records_reply> {
+        co_return read_records(*self, request);
+      });
+  endpoint.serve<rpc::checksums_request>(
+      [self](rpc::checksums_request request) -> task<rpc::checksums_reply> {
+        co_return checksums(*self, request);
+      });
+  endpoint.serve<rpc::identify_request>([self](rpc::identify_request request) -> task<rpc::identify_reply> {
+    co_return identify(*self, request);
+  });
+  endpoint.serve<rpc::catch_up_request>(
+      [filler](rpc::catch_up_request request) { return filler->serve(std::move(request)); });
+  // The installer belongs to the voter's state, which the handler keeps alive.
+  endpoint.serve<rpc::install_view_request>(
+      [installer, owner](rpc::install_view_request request) { return installer->serve(std::move(request)); });
+}
+
+// A bucket without the others' identity was lost while they were kept: that is a loss, too. The one exception
+// is a first start that was cut off before any view could have named this voter.
+task<std::optional<open_error>> voter::open() {
+  auto self = state_;
+  auto shared = self->shared;
+  auto found = shared->records.recover();
+  if (found.failed) co_return open_error::failed;
+  for (auto& text : found.views) {
+    auto stored = consensus::view_from_text(text);
+    if (stored.number > shared->current_view.number) shared->current_view = stored;
+  }
+  bool first_start = found.identities.count("") > 0 && shared->current_view.number == 0;
+  bool corrupt = found.corrupt || (found.identities.size() > 1 && !first_start);
+  if (corrupt)
+    shared->endpoint.logger().error("disk is corrupt; beginning empty under a new identity",
+                                    {{"group", shared->group}});
+  if (corrupt || first_start) {
+    bool begun = co_await reset(shared);
+    if (!begun) co_return open_error::failed;
+  } else {
+    shared->identity = *found.identities.begin();
+  }
+  shared->records.start();
+  shared->opened = true;
+  serve_requests(shared, &self->installer, self->filler, self);
+  if (corrupt) co_return open_error::corrupt;
+  co_return std::nullopt;
+}
+
+task<bool> voter::install(view chosen) { return state_->installer.install(std::move(chosen)); }
+
+task<> voter::repair_forever() { return replication::repair_forever(state_->shared); }
+
+std::optional<std::string> voter::accepted_value(const std::string& key) const {
+  auto bytes = records().read(replica_storage::register_record(key));
+  if (!bytes) return std::nullopt;
+  return replica_storage::unpack_cell(*bytes).accepted_value();
+}
+
+std::optional<std::string> voter::content(const std::string& digest) const {
+  return records().read(replica_storage::content_record(digest));
+}
+
+task<bool> voter::remove_contents(std::vector<std::string> digests) {
+  for (auto& digest : digests) digest = replica_storage::content_record(digest);
+  return state_->shared->records.remove(std::move(digests));
+}
+
+task<int> voter::remove_registers_if(std::vector<std::string> keys,
+                                     replica_storage::record_store::removal_check may_remove) {
+  for (auto& key : keys) key = replica_storage::register_record(key);
+  return state_->shared->records.remove_registers_if(std::move(keys), std::move(may_remove));
+}
+
+}  // namespace herontally::replication
--- a/src/wire/codec.cc
+++ b/src/rpc/codec.cc
@@ -1,4 +1,4 @@
-#include "wire/codec.h"
+#include "rpc/codec.h"
 
 #include <avro.h>
 
@@ -8,22 +8,22 @@
 
 #include "schema_inner.h"
 
-namespace herontally::wire {
+namespace herontally::rpc {
 
 namespace {
 
-constexpr std::size_t deepest = 16;
-constexpr std::size_t longest_array = 200000;
+constexpr std::size_t max_depth = 16;
+constexpr std::size_t max_array_length = 200000;
 
 // Garbage names lengths of any size, and avro-c would ask for them before it looks whether so many bytes are
 // there.
 void* allocate(void*, void* old, std::size_t, std::size_t size) {
-  constexpr std::size_t largest = 32u << 20;
+  constexpr std::size_t max_allocation = 32u << 20;
   if (size == 0) {
     std::free(old);
     return nullptr;
   }
-  return size > largest ? nullptr : std::realloc(old, size);
+  return size > max_allocation ? nullptr : std::realloc(old, size);
 }
 
 // The schema as one version had it.
@@ -70,9 +70,9 @@
   return *table;
 }
 
-bool fill(avro_value_t* out, const json& value);
+bool write(avro_value_t* out, const json& value);
 
-bool fill_record(avro_value_t* out, const json& value) {
+bool write_record(avro_value_t* out, const json& value) {
   if (!value.is_object()) return false;
   std::size_t count = 0;
   avro_value_get_size(out, &count);
@@ -81,15 +81,15 @@
     const char* name = nullptr;
     if (avro_value_get_by_index(out, position, &field, &name) != 0) return false;
     auto found = value.find(name);
-    if (found == value.end() || !fill(&field, *found)) return false;
+    if (found == value.end() || !write(&field, *found)) return false;
   }
   return true;
 }
 
-bool fill(avro_value_t* out, const json& value) {
+bool write(avro_value_t* out, const json& value) {
   switch (avro_value_get_type(out)) {
     case AVRO_RECORD:
-      return fill_record(out, value);
+      return write_record(out, value);
     case AVRO_STRING: {
       if (!value.is_string()) return false;
       auto& text = value.get_ref<const std::string&>();
@@ -114,7 +114,7 @@
       if (!value.is_array()) return false;
       for (auto& item : value) {
         avro_value_t element;
-        if (avro_value_append(out, &element, nullptr) != 0 || !fill(&element, item)) return false;
+        if (avro_value_append(out, &element, nullptr) != 0 || !write(&element, item)) return false;
       }
       return true;
     }
@@ -123,9 +123,9 @@
   }
 }
 
-bool take(const avro_value_t* in, json& out, std::size_t depth);
+bool read(const avro_value_t* in, json& out, std::size_t depth);
 
-bool take_text(const avro_value_t* in, json& out) {
+bool read_string(const avro_value_t* in, json& out) {
   const char* text = nullptr;
   std::size_t size = 0;
   if (avro_value_get_string(in, &text, &size) != 0 || size == 0) return false;
@@ -133,15 +133,15 @@
   return true;
 }
 
-bool take_children(const avro_value_t* in, json& out, std::size_t depth, bool record) {
+bool read_children(const avro_value_t* in, json& out, std::size_t depth, bool record) {
   std::size_t count = 0;
-  if (avro_value_get_size(in, &count) != 0 || count > longest_array) return false;
+  if (avro_value_get_size(in, &count) != 0 || count > max_array_length) return false;
   out = record ? json::object() : json::array();
   for (std::size_t position = 0; position < count; ++position) {
     avro_value_t child;
     const char* name = nullptr;
     json value;
-    if (avro_value_get_by_index(in, position, &child, &name) != 0 || !take(&child, value, depth + 1))
+    if (avro_value_get_by_index(in, position, &child, &name) != 0 || !read(&child, value, depth + 1))
       return false;
     if (record)
       out[name] = std::move(value);
@@ -151,15 +151,15 @@
   return true;
 }
 
-bool take(const avro_value_t* in, json& out, std::size_t depth) {
-  if (depth > deepest) return false;
+bool read(const avro_value_t* in, json& out, std::size_t depth) {
+  if (depth > max_depth) return false;
   switch (avro_value_get_type(in)) {
     case AVRO_RECORD:
-      return take_children(in, out, depth, true);
+      return read_children(in, out, depth, true);
     case AVRO_ARRAY:
-      return take_children(in, out, depth, false);
+      return read_children(in, out, depth, false);
     case AVRO_STRING:
-      return take_text(in, out);
+      return read_string(in, out);
     case AVRO_BYTES: {
       const void* bytes = nullptr;
       std::size_t size = 0;
@@ -215,7 +215,7 @@
   auto found = table.branches.find(record);
   if (found == table.branches.end()) return codec_error::unknown_record;
   scoped_value holder(table, found->second);
-  if (!holder.usable || !fill(&holder.value, value)) return codec_error::mismatch;
+  if (!holder.usable || !write(&holder.value, value)) return codec_error::mismatch;
   std::size_t size = 0;
   if (avro_value_sizeof(&holder.value, &size) != 0) return codec_error::mismatch;
   std::string bytes(size, '\0');
@@ -235,10 +235,10 @@
   int failed = holder.usable ? avro_value_read(reader, &holder.value) : 1;
   avro_reader_free(reader);
   json out;
-  if (failed || !take(&holder.value, out, 0)) return codec_error::malformed;
+  if (failed || !read(&holder.value, out, 0)) return codec_error::malformed;
   auto missing = table.defaults.find(record);
   if (missing != table.defaults.end()) out.update(missing->second);
   return out;
 }
 
-}  // namespace herontally::wire
+}  // namespace herontally::rpc
--- /dev/null
+++ b/src/rpc/endpoint.cc
@@ -0,0 +1,177 @@
+#include "rpc/endpoint.h"
+
+namespace herontally::rpc {
+
+namespace {
+
+struct registered_handler {
+  std::string reply_kind;
+  std::function<runtime::task<json>(json)> handle;
+};
+
+// Why a message was dropped; the values label a metric.
+enum class drop_reason { garbage, version, unknown_kind, malformed };
+
+const char* name_of(drop_reason reason) {
+  switch (reason) {
+    case drop_reason::garbage:
+      return "garbage";
+    case drop_reason::version:
+      return "version";
+    case drop_reason::unknown_kind:
+      return "unknown kind";
+    case drop_reason::malformed:
+      return "malformed";
+  }
+  return "";
+}
+
+// Nothing when the body doesn't fit the schema: a fault of this process.
+std::optional<std::string> seal(int version, const std::string& sender, const std::string& kind,
+                                const json& body) {
+  auto encoded = encode(kind, body, version);
+  if (!std::holds_alternative<std::string>(encoded)) return std::nullopt;
+  envelope cover;
+  cover.version = version;
+  cover.kind = kind;
+  cover.sender = sender;
+  cover.body = std::get<std::string>(std::move(encoded));
+  // As a version after ours might: something after the fields that we know.
+  if (version > protocol_version) cover.body += std::string(3, '\2');
+  auto bytes = encode("envelope", json(cover));
+  if (!std::holds_alternative<std::string>(bytes)) return std::nullopt;
+  return std::get<std::string>(std::move(bytes));
+}
+
+std::variant<envelope, drop_reason> unseal(int version, const std::string& bytes) {
+  auto decoded = decode("envelope", bytes);
+  if (!std::holds_alternative<json>(decoded)) return drop_reason::garbage;
+  auto cover = std::get<json>(decoded).get<envelope>();
+  if (cover.version < version - 1 || cover.version > version + 1) return drop_reason::version;
+  return cover;
+}
+
+runtime::task<> run_handler(logging::logger logger, int version, std::string sender, registered_handler found,
+                            json body, std::function<void(std::string)> send_reply) {
+  json reply = co_await found.handle(std::move(body));
+  auto sealed = seal(version, sender, found.reply_kind, reply);
+  // A reply that our own schema refuses is a fault of this process; the caller sees a closed channel.
+  if (sealed) logger.count("herontally_inner_answer_bytes_total", static_cast<double>(sealed->size()));
+  send_reply(sealed ? *sealed : std::string());
+}
+
+error error_of(runtime::channel_error failure) {
+  switch (failure) {
+    case runtime::channel_error::timed_out:
+      return error::timed_out;
+    case runtime::channel_error::closed:
+      return error::refused;
+    case runtime::channel_error::oversized:
+      return error::malformed;
+    case runtime::channel_error::unreachable:
+      return error::unreachable;
+  }
+  return error::unreachable;
+}
+
+}  // namespace
+
+struct endpoint::state {
+  runtime::handle runtime;
+  std::string sender;
+  logging::logger logger;
+  int version = protocol_version;
+  std::map<std::string, registered_handler> handlers;  // by the request's kind
+
+  // What the handler of this message needs, or why there is none.
+  struct incoming {
+    registered_handler handler;
+    json body;
+  };
+  std::variant<incoming, drop_reason> open(const std::string& bytes) const;
+  void drop(drop_reason reason, std::size_t bytes) const;
+};
+
+std::variant<endpoint::state::incoming, drop_reason> endpoint::state::open(const std::string& bytes) const {
+  auto opened = unseal(version, bytes);
+  if (auto* reason = std::get_if<drop_reason>(&opened)) return *reason;
+  auto& cover = std::get<envelope>(opened);
+  auto found = handlers.find(cover.kind);
+  if (found == handlers.end()) return drop_reason::unknown_kind;
+  auto body = decode(cover.kind, cover.body, std::min(cover.version, version));
+  if (!std::holds_alternative<json>(body)) return drop_reason::malformed;
+  return incoming{found->second, std::get<json>(std::move(body))};
+}
+
+void endpoint::state::drop(drop_reason reason, std::size_t bytes) const {
+  logger.count(std::string("herontally_inner_dropped_total{reason=\"") + name_of(reason) + "\"}");
+  logger.warn("inner message dropped", {{"reason", name_of(reason)}, {"bytes", bytes}});
+}
+
+endpoint::endpoint(runtime::handle runtime, std::string sender, logging::logger logger)
+    : state_(std::make_shared<state>(state{runtime, std::move(sender), logger, protocol_version, {}})) {
+  // Handlers hold what holds this endpoint: they are let go, so that the ring is broken.
+  runtime.on_stop([weak = std::weak_ptr<state>(state_)] {
+    if (auto self = weak.lock()) self->handlers.clear();
+  });
+}
+
+void endpoint::set_version(int version) { state_->version = version; }
+const std::string& endpoint::sender() const { return state_->sender; }
+runtime::handle endpoint::runtime() const { return state_->runtime; }
+logging::logger endpoint::logger() const { return state_->logger; }
+
+void endpoint::add_handler(std::string request_kind, std::string reply_kind, raw_handler handler) {
+  state_->handlers[request_kind] = registered_handler{std::move(reply_kind), std::move(handler)};
+}
+
+bool endpoint::listen(const std::string& address) {
+  std::weak_ptr<state> weak = state_;
+  auto receive = [weak](std::string bytes, std::function<void(std::string)> send_reply) {
+    auto self = weak.lock();
+    if (!self) return;
+    auto opened = self->open(bytes);
+    if (auto* reason = std::get_if<drop_reason>(&opened)) {
+      self->drop(*reason, bytes.size());
+      // An empty reply closes the channel.
+      return send_reply("");
+    }
+    self->logger.count("herontally_inner_messages_total");
+    self->logger.count("herontally_inner_bytes_total", static_cast<double>(bytes.size()));
+    auto& message = std::get<state::incoming>(opened);
+    self->runtime.spawn(run_handler(self->logger, self->version, self->sender, std::move(message.handler),
+                                    std::move(message.body), std::move(send_reply)));
+  };
+  return state_->runtime.serve(address, receive);
+}
+
+runtime::task<outcome<json>> endpoint::call_raw(std::string address, std::string request_kind,
+                                                std::string reply_kind, json body,
+                                                runtime::microseconds timeout) const {
+  auto self = state_;
+  auto sealed = seal(self->version, self->sender, request_kind, body);
+  if (!sealed) {
+    self->logger.error("own message does not fit the schema", {{"kind", request_kind}});
+    co_return error::malformed;
+  }
+  self->logger.count("herontally_inner_asked_total{kind=\"" + request_kind + "\"}");
+  self->logger.count("herontally_inner_asked_bytes_total", static_cast<double>(sealed->size()));
+  auto result = co_await self->runtime.call(std::move(address), std::move(*sealed), timeout);
+  if (auto* failed = std::get_if<runtime::channel_error>(&result)) co_return error_of(*failed);
+  auto& bytes = std::get<std::string>(result);
+  self->logger.count("herontally_inner_answers_received_bytes_total", static_cast<double>(bytes.size()));
+  auto opened = unseal(self->version, bytes);
+  if (!std::holds_alternative<envelope>(opened)) co_return error::malformed;
+  auto& cover = std::get<envelope>(opened);
+  if (cover.kind != reply_kind) co_return error::malformed;
+  auto decoded = decode(reply_kind, cover.body, std::min(cover.version, self->version));
+  if (!std::holds_alternative<json>(decoded)) co_return error::malformed;
+  co_return std::get<json>(std::move(decoded));
+}
+
+void endpoint::report_unrecognized_status(const char* request_kind) const {
+  state_->logger.count("herontally_inner_unrecognized_status_total");
+  state_->logger.warn("reply with a status that this version doesn't know", {{"kind", request_kind}});
+}
+
+}  // namespace herontally::rpc
--- /dev/null
+++ b/src/rpc/member.h
@@ -0,0 +1,60 @@
+// A node as the cluster membership describes it, and the words that stand for its role and status on the
+// wire.
+#pragma once
+#include <cstdint>
+#include <string>
+
+#include "serialization/json_fields.h"
+
+namespace herontally::rpc {
+
+// What a node does. `unrecognized` is a role that this version doesn't know; it is never sent.
+enum class node_role { unrecognized, core, store, agent, proxy };
+NLOHMANN_JSON_SERIALIZE_ENUM(node_role, {{node_role::unrecognized, nullptr},
+                                         {node_role::core, "hcore"},
+                                         {node_role::store, "hstore"},
+                                         {node_role::agent, "hagent"},
+                                         {node_role::proxy, "hproxy"}})
+
+// SWIM's states, and `left` for a node that announced its shutdown. `unrecognized` is never sent.
+enum class member_status { unrecognized, alive, suspect, dead, left };
+NLOHMANN_JSON_SERIALIZE_ENUM(member_status, {{member_status::unrecognized, nullptr},
+                                             {member_status::alive, "alive"},
+                                             {member_status::suspect, "suspect"},
+                                             {member_status::dead, "dead"},
+                                             {member_status::left, "left"}})
+
+// The word that stands for a role or a status on the wire, in logs and in the operators' API; empty for
+// `unrecognized`.
+template <class Enum>
+std::string wire_name(Enum value) {
+  nlohmann::json text = value;
+  return text.is_string() ? text.get<std::string>() : std::string();
+}
+
+// One entry of the membership, keyed by `name`. Addresses are ip:port.
+struct member {
+  std::string name;
+  node_role role = node_role::unrecognized;
+  std::string zone;
+  std::string inner;  // where the inner protocol is served
+  std::string http;   // where the node's HTTP pages are served
+  // Grows from one start of the node to the next: wall clock of the start, in microseconds.
+  std::int64_t incarnation = 0;
+  member_status status = member_status::alive;
+  // Raised by a live node to refute a suspicion of the same incarnation.
+  std::int64_t refutations = 0;
+
+  static constexpr auto json_fields() {
+    using serialization::json_field;
+    return std::make_tuple(json_field(&member::name, "name"), json_field(&member::role, "role"),
+                           json_field(&member::zone, "zone"), json_field(&member::inner, "inner"),
+                           json_field(&member::http, "http"), json_field(&member::incarnation, "incarnation"),
+                           json_field(&member::status, "status"), json_field(&member::refutations, "doubt"));
+  }
+
+  // Alive, or suspected but not declared dead yet.
+  bool is_live() const { return status == member_status::alive || status == member_status::suspect; }
+};
+
+}  // namespace herontally::rpc
--- a/src/runtime/backend.h
+++ b/src/runtime/backend.h
@@ -31,14 +31,14 @@
   std::map<std::string, std::string>
       headers;  // names in lower case; repeated ones joined by commas, cookies by semicolons
 };
-struct http_receipt {
+struct http_response {
   int status = 200;
   std::map<std::string, std::string> headers;
   std::string body;
 };
 // The server's side of one HTTP exchange.
 struct http_writer {
-  std::function<void(http_receipt)> reply;
+  std::function<void(http_response)> reply;
   std::function<void(int, std::map<std::string, std::string>)> start;
   std::function<void(std::string)> piece;
   std::function<void()> finish;
--- a/src/runtime/program.h
+++ b/src/runtime/program.h
@@ -28,9 +28,9 @@
 int serve_until_notice(settings::settings place, const std::string& role, Extra... extra) {
   logging::start(role, place.log_level);
   real loop(place.data);
-  logging::journal journal(place.name);
+  logging::logger logger(place.name);
   std::optional<Node> node;
-  node.emplace(loop.runtime(), place, journal, extra...);
+  node.emplace(loop.runtime(), place, logger, extra...);
   int code = 0;
   auto begin = [](Node* started, real* owner, int* result, std::string name) -> task<> {
     auto fault = co_await started->start();
--- a/src/runtime/real_http_writer.cc
+++ b/src/runtime/real_http_writer.cc
@@ -69,14 +69,14 @@
 
 // The functions that answer.
 void bind_answer(http_writer& writer, const std::shared_ptr<server_exchange>& held) {
-  writer.reply = [held](http_receipt receipt) {
+  writer.reply = [held](http_response response) {
     if (!held->usable()) return;
     held->on_gone = nullptr;
     auto* request = std::exchange(held->request, nullptr);
-    add_headers(request, receipt.headers);
+    add_headers(request, response.headers);
     evbuffer* body = evbuffer_new();
-    evbuffer_add(body, receipt.body.data(), receipt.body.size());
-    evhttp_send_reply(request, receipt.status, reason_of(receipt.status), body);
+    evbuffer_add(body, response.body.data(), response.body.size());
+    evhttp_send_reply(request, response.status, reason_of(response.status), body);
     evbuffer_free(body);
   };
   writer.start = [held](int status, std::map<std::string, std::string> headers) {
--- a/src/runtime/runtime.cc
+++ b/src/runtime/runtime.cc
@@ -130,21 +130,21 @@
                               microseconds timeout) {
   microseconds deadline = runtime.now() + timeout;
   http_stream stream(runtime, std::move(address), std::move(request));
-  http_receipt receipt;
+  http_response response;
   while (true) {
     microseconds left = deadline - runtime.now();
     if (left <= 0) co_return http_failure{true};
     auto event = co_await stream.next(left);
     if (!event) co_return http_failure{true};
     if (auto* head = std::get_if<http_head>(&*event)) {
-      receipt.status = head->status;
-      receipt.headers = head->headers;
+      response.status = head->status;
+      response.headers = head->headers;
     } else if (auto* piece = std::get_if<http_piece>(&*event)) {
-      receipt.body += piece->bytes;
+      response.body += piece->bytes;
     } else if (auto* failure = std::get_if<http_failure>(&*event)) {
       co_return *failure;
     } else {
-      co_return receipt;
+      co_return response;
     }
   }
 }
--- a/src/runtime/runtime.h
+++ b/src/runtime/runtime.h
@@ -126,7 +126,7 @@
   std::shared_ptr<std::uint64_t> number_;
 };
 
-using http_outcome = std::variant<http_receipt, http_failure>;
+using http_outcome = std::variant<http_response, http_failure>;
 task<http_outcome> http_fetch(handle runtime, std::string address, http_request request,
                               microseconds timeout);
 
--- /dev/null
+++ b/src/serialization/json_fields.h
@@ -0,0 +1,64 @@
+// Explicit JSON keys for the members of a struct.
+//
+// A struct that is stored on disk or sent to another node lists its members and their keys in a static
+// `json_fields` function; conversion to and from JSON follows from the list. The keys are part of the data
+// format: a member may be renamed at any time, its key never.
+//
+//   struct member {
+//     std::string name;
+//     static constexpr auto json_fields() { return std::make_tuple(json_field(&member::name, "name")); }
+//   };
+//
+// Reading fails with nlohmann::json::out_of_range when a key is missing, unless the struct declares
+// `static constexpr bool missing_keys_allowed = true`: then a missing key leaves the member at its default.
+#pragma once
+#include <nlohmann/json.hpp>
+#include <tuple>
+
+namespace herontally::serialization {
+
+// One member and the key under which it is stored and sent.
+template <class Struct, class Value>
+struct json_field {
+  Value Struct::*member;
+  const char* key;
+  constexpr json_field(Value Struct::*member_pointer, const char* json_key)
+      : member(member_pointer), key(json_key) {}
+};
+
+template <class Struct>
+concept has_json_fields = requires {
+  Struct::json_fields();
+};
+
+template <class Struct>
+concept allows_missing_keys = has_json_fields<Struct> && Struct::missing_keys_allowed;
+
+}  // namespace herontally::serialization
+
+template <class Struct>
+requires herontally::serialization::has_json_fields<Struct>
+struct nlohmann::adl_serializer<Struct, void> {
+  template <class Json>
+  static void to_json(Json& document, const Struct& from) {
+    document = Json::object();
+    std::apply([&](const auto&... field) { ((document[field.key] = from.*(field.member)), ...); },
+               Struct::json_fields());
+  }
+
+  template <class Json>
+  static void from_json(const Json& document, Struct& to) {
+    std::apply([&](const auto&... field) { (read_field(document, field, to), ...); }, Struct::json_fields());
+  }
+
+ private:
+  template <class Json, class Field>
+  static void read_field(const Json& document, const Field& field, Struct& to) {
+    if constexpr (herontally::serialization::allows_missing_keys<Struct>) {
+      static const Struct defaults{};
+      to.*(field.member) = document.value(field.key, defaults.*(field.member));
+    } else {
+      document.at(field.key).get_to(to.*(field.member));
+    }
+  }
+};
--- a/src/simcaller/load.h
+++ b/src/simcaller/load.h
@@ -26,7 +26,7 @@
   bool stored = false;
 };
 struct seen_call {
-  std::string partner, route, key, ran, code, receipt, request_id;
+  std::string partner, route, key, ran, code, response, request_id;
   std::int64_t status = 0;  // 0: no answer
   double seconds = 0;
 };
--- a/src/simcaller/requests.cc
+++ b/src/simcaller/requests.cc
@@ -108,10 +108,10 @@
   if (!key.empty()) request.headers["Idempotency-Key"] = key;
   auto result =
       co_await runtime::http_fetch(runtime, door, request, static_cast<microseconds>(timeout * second));
-  if (auto* receipt = std::get_if<runtime::http_receipt>(&result)) {
-    seen.status = receipt->status;
-    seen.receipt = header(receipt->headers, "receipt");
-    auto document = json::parse(receipt->body, nullptr, false);
+  if (auto* response = std::get_if<runtime::http_response>(&result)) {
+    seen.status = response->status;
+    seen.response = header(response->headers, "receipt");
+    auto document = json::parse(response->body, nullptr, false);
     if (document.is_object()) {
       seen.ran = document.value("ran", "");
       seen.code = document.value("code", "");
--- a/src/simengine/main.cc
+++ b/src/simengine/main.cc
@@ -51,7 +51,7 @@
   choice.hash_seed = absl::GetFlag(FLAGS_hash_seed);
   logging::start("simengine", "WARN");
   runtime::real loop("");
-  simengine::node node(loop.runtime(), choice, logging::journal(choice.name));
+  simengine::node node(loop.runtime(), choice, logging::logger(choice.name));
   int code = 0;
   auto begin = [](simengine::node* started, runtime::real* owner, int* result) -> runtime::task<> {
     auto fault = co_await started->start();
--- a/src/simengine/model.cc
+++ b/src/simengine/model.cc
@@ -58,9 +58,9 @@
   auto seconds = static_cast<double>(computed) / self->choice.prefill_tokens_per_second;
   self->busy_until = begin + static_cast<microseconds>(seconds * second);
   co_await self->runtime.sleep(self->busy_until - self->runtime.now());
-  self->journal.count("herontally_engine_tokens_computed_total", static_cast<double>(computed));
-  self->journal.count("herontally_engine_tokens_cached_total", static_cast<double>(cached_tokens));
-  self->journal.count("herontally_engine_turns_total");
+  self->logger.count("herontally_engine_tokens_computed_total", static_cast<double>(computed));
+  self->logger.count("herontally_engine_tokens_cached_total", static_cast<double>(cached_tokens));
+  self->logger.count("herontally_engine_turns_total");
 }
 
 // Puts out up to `most` tokens behind these; nothing when the client has gone meanwhile.
--- a/src/simengine/node.cc
+++ b/src/simengine/node.cc
@@ -26,11 +26,11 @@
   return payload;
 }
 
-node::node(runtime::handle runtime, options choice, logging::journal journal)
-    : state_(std::make_shared<state>(std::move(runtime), std::move(choice), std::move(journal))) {}
+node::node(runtime::handle runtime, options choice, logging::logger logger)
+    : state_(std::make_shared<state>(std::move(runtime), std::move(choice), std::move(logger))) {}
 node::~node() = default;
 void node::on_run(std::function<void(const run&)> watcher) { state_->watcher = std::move(watcher); }
-logging::journal node::journal() const { return state_->journal; }
+logging::logger node::logger() const { return state_->logger; }
 
 void node::behave(const std::string& how) { state_->behave(how); }
 
@@ -137,15 +137,15 @@
 }
 
 std::string node::state::metrics() {
-  journal.gauge("vllm:num_requests_waiting{model_name=\"" + choice.serves + "\"}",
-                static_cast<double>(waiting));
-  journal.gauge("vllm:num_requests_running{model_name=\"" + choice.serves + "\"}",
-                static_cast<double>(running));
-  journal.gauge("process_start_time_seconds", born);
-  journal.gauge("herontally_engine_draining", draining ? 1 : 0);
-  journal.gauge("herontally_engine_ready_seconds", static_cast<double>(runtime.now() - ready_at) / second);
-  journal.gauge("herontally_engine_blocks_held", static_cast<double>(blocks.size()));
-  return journal.metrics();
+  logger.gauge("vllm:num_requests_waiting{model_name=\"" + choice.serves + "\"}",
+               static_cast<double>(waiting));
+  logger.gauge("vllm:num_requests_running{model_name=\"" + choice.serves + "\"}",
+               static_cast<double>(running));
+  logger.gauge("process_start_time_seconds", born);
+  logger.gauge("herontally_engine_draining", draining ? 1 : 0);
+  logger.gauge("herontally_engine_ready_seconds", static_cast<double>(runtime.now() - ready_at) / second);
+  logger.gauge("herontally_engine_blocks_held", static_cast<double>(blocks.size()));
+  return logger.metrics();
 }
 
 // An application: does the work for every request that reaches it, whatever its key; that is what makes
@@ -178,7 +178,7 @@
                   {"by", self->choice.name},
                   {"times", entry.first},
                   {"code", ledger::digest_of(key + incoming.body).substr(0, 16)}};
-  self->journal.count("herontally_engine_calls_total");
+  self->logger.count("herontally_engine_calls_total");
   self->tell("call", incoming, key, "call");
   self->leave_place();
   // The work is done; only its answer vanishes.
--- a/src/simengine/node.h
+++ b/src/simengine/node.h
@@ -42,12 +42,12 @@
 
 class node {
  public:
-  node(runtime::handle runtime, options choice, logging::journal journal);
+  node(runtime::handle runtime, options choice, logging::logger logger);
   ~node();
   runtime::task<std::optional<std::string>> start();
   runtime::task<> leave();
   void on_run(std::function<void(const run&)> watcher);
-  logging::journal journal() const;
+  logging::logger logger() const;
   // Ways to misbehave: "drain", "undrain", "lender-pause", "lender-cut", "lender-garble", "lose-answers",
   // "well".
   void behave(const std::string& how);
--- a/src/simengine/node_state.h
+++ b/src/simengine/node_state.h
@@ -40,7 +40,7 @@
 struct node::state : std::enable_shared_from_this<node::state> {
   runtime::handle runtime;
   options choice;
-  logging::journal journal;
+  logging::logger logger;
   std::function<void(const run&)> watcher;
   double born;
   microseconds ready_at;
@@ -57,10 +57,10 @@
   std::unordered_map<std::string, std::list<std::string>::iterator> blocks;
   std::map<std::string, std::pair<std::int64_t, json>> calls;  // by key: times run, last answer
 
-  state(runtime::handle handle, options given, logging::journal lines)
+  state(runtime::handle handle, options given, logging::logger lines)
       : runtime(handle),
         choice(std::move(given)),
-        journal(lines),
+        logger(lines),
         born(static_cast<double>(handle.wall()) / second),
         ready_at(handle.now()) {}
   void behave(const std::string& how);
--- a/src/simengine/transfer.cc
+++ b/src/simengine/transfer.cc
@@ -41,11 +41,11 @@
 }
 
 void node::state::count_pull(const pulled& result) const {
-  journal.count("herontally_engine_kv_bytes_in_total", static_cast<double>(result.bytes));
-  journal.count("herontally_engine_kv_blocks_asked_total", static_cast<double>(result.asked));
-  journal.count("herontally_engine_kv_blocks_found_total", static_cast<double>(result.found));
-  journal.count("herontally_engine_kv_blocks_missed_total", static_cast<double>(result.asked - result.found));
-  if (result.failed) journal.count("herontally_engine_kv_pulls_failed_total");
+  logger.count("herontally_engine_kv_bytes_in_total", static_cast<double>(result.bytes));
+  logger.count("herontally_engine_kv_blocks_asked_total", static_cast<double>(result.asked));
+  logger.count("herontally_engine_kv_blocks_found_total", static_cast<double>(result.found));
+  logger.count("herontally_engine_kv_blocks_missed_total", static_cast<double>(result.asked - result.found));
+  if (result.failed) logger.count("herontally_engine_kv_pulls_failed_total");
 }
 
 // Asks the lender by hash which blocks remain and takes what it writes; only whole blocks that are what their
@@ -87,7 +87,7 @@
   std::size_t have = self->leading(hashes);
   if (self->lending >= self->choice.most_lends) {
     // Above its own cap a lender refuses at once, and the borrower computes.
-    self->journal.count("herontally_engine_kv_lends_refused_total");
+    self->logger.count("herontally_engine_kv_lends_refused_total");
     gateway::reply_json(out, 503, {{"error", "too many pulls"}});
     co_return;
   }
@@ -106,7 +106,7 @@
     std::string data = block_payload(hashes[position], self->block_bytes());
     if (self->lender == "garble" && position == have / 2) data[0] ^= 1;
     std::string line = json{{"hash", hashes[position]}, {"data", data}}.dump() + "\n";
-    self->journal.count("herontally_engine_kv_bytes_out_total", static_cast<double>(line.size()));
+    self->logger.count("herontally_engine_kv_bytes_out_total", static_cast<double>(line.size()));
     owed += static_cast<double>(line.size()) / self->choice.transfer_bytes_per_second * second;
     out->piece(std::move(line));
     self->hold(hashes[position]);
--- a/src/simplatform/main.cc
+++ b/src/simplatform/main.cc
@@ -38,7 +38,7 @@
   choice.late_milliseconds = absl::GetFlag(FLAGS_late_milliseconds);
   logging::start("simplatform", "WARN");
   runtime::real loop("");
-  simplatform::node node(loop.runtime(), choice, logging::journal("platform"));
+  simplatform::node node(loop.runtime(), choice, logging::logger("platform"));
   int code = 0;
   auto begin = [](simplatform::node* started, runtime::real* owner, int* result) -> runtime::task<> {
     auto fault = co_await started->start();
--- a/src/simplatform/node.cc
+++ b/src/simplatform/node.cc
@@ -13,15 +13,15 @@
 struct node::state : std::enable_shared_from_this<node::state> {
   runtime::handle runtime;
   options choice;
-  logging::journal journal;
+  logging::logger logger;
   json shown;
   std::map<std::string, bool> ready;
   bool silent = false;
 
-  state(runtime::handle handle, options given, logging::journal lines)
+  state(runtime::handle handle, options given, logging::logger lines)
       : runtime(std::move(handle)),
         choice(std::move(given)),
-        journal(std::move(lines)),
+        logger(std::move(lines)),
         shown(choice.engines) {}
 
   void set(json engines) {
@@ -36,8 +36,8 @@
     runtime::http_request request;
     request.path = "/readyz";
     auto result = co_await runtime::http_fetch(self->runtime, address, request, 800 * millisecond);
-    auto* receipt = std::get_if<runtime::http_receipt>(&result);
-    self->ready[address] = receipt && receipt->status == 200;
+    auto* response = std::get_if<runtime::http_response>(&result);
+    self->ready[address] = response && response->status == 200;
   }
   static task<> check_nodes(std::shared_ptr<state> self) {
     while (true) {
@@ -48,7 +48,7 @@
 
   void serve_request(const runtime::inbound_request& incoming, const gateway::writer& out) {
     if (silent) return out->cut();
-    if (gateway::common_pages(incoming, out, journal, true)) return;
+    if (gateway::common_pages(incoming, out, logger, true)) return;
     if (incoming.path == "/v1/engines" && incoming.method == "GET")
       return gateway::reply_json(out, 200, {{"engines", shown}});
     if (incoming.path == "/v1/nodes" && incoming.method == "GET")
@@ -75,8 +75,8 @@
   }
 };
 
-node::node(runtime::handle runtime, options choice, logging::journal journal)
-    : state_(std::make_shared<state>(std::move(runtime), std::move(choice), std::move(journal))) {}
+node::node(runtime::handle runtime, options choice, logging::logger logger)
+    : state_(std::make_shared<state>(std::move(runtime), std::move(choice), std::move(logger))) {}
 node::~node() = default;
 void node::set_engines(json engines) { state_->set(std::move(engines)); }
 void node::upset(bool silent, double late_milliseconds) {
--- a/src/simplatform/node.h
+++ b/src/simplatform/node.h
@@ -14,7 +14,7 @@
 
 class node {
  public:
-  node(runtime::handle runtime, options choice, logging::journal journal);
+  node(runtime::handle runtime, options choice, logging::logger logger);
   ~node();
   runtime::task<std::optional<std::string>> start();
   runtime::task<> leave();
--- a/src/disk/file_window.cc
+++ b/src/storage/file_reader.cc
@@ -1,25 +1,25 @@
-#include "disk/file_window.h"
+#include "storage/file_reader.h"
 
 #include <algorithm>
 
-namespace herontally::disk {
+namespace herontally::storage {
 
-// So much is read at once; longer parts are read whole.
-constexpr std::size_t piece_bytes = 64 << 10;
+// Read at once; a longer part is read in one piece.
+constexpr std::size_t chunk_bytes = 64 << 10;
 
-std::optional<runtime::disk_error> file_window::open() {
+std::optional<runtime::disk_error> file_reader::open() {
   auto found = disk_.size(file_);
   if (auto* error = std::get_if<runtime::disk_error>(&found)) return *error;
   size_ = std::get<std::uint64_t>(found);
   return std::nullopt;
 }
 
-std::string_view file_window::at(std::uint64_t offset, std::size_t length) {
+std::string_view file_reader::at(std::uint64_t offset, std::size_t length) {
   if (offset > size_ || length > size_ - offset) return {};
   bool buffered = offset >= begin_ && offset + length <= begin_ + buffer_.size();
   if (!buffered) {
     buffer_ = std::string();
-    auto bytes = disk_.read_at(file_, offset, std::max(length, piece_bytes));
+    auto bytes = disk_.read_at(file_, offset, std::max(length, chunk_bytes));
     if (auto* text = std::get_if<std::string>(&bytes)) buffer_ = std::move(*text);
     begin_ = offset;
     if (buffer_.size() < length) {
@@ -30,4 +30,4 @@
   return std::string_view(buffer_).substr(offset - begin_, length);
 }
 
-}  // namespace herontally::disk
+}  // namespace herontally::storage
--- a/src/disk/file_window.h
+++ b/src/storage/file_reader.h
@@ -1,15 +1,15 @@
-// Reads a file from front to back through a buffer of bounded size.
+// Reads a file from front to back through a buffer of bounded size. Internal to the storage package.
 #pragma once
 #include <string_view>
 
 #include "runtime/runtime.h"
 
-namespace herontally::disk {
+namespace herontally::storage {
 
-class file_window {
+class file_reader {
  public:
-  file_window(const runtime::disk_table& disk, std::string file) : disk_(disk), file_(std::move(file)) {}
-  // Looks up the file's size. To be called first.
+  file_reader(const runtime::disk_table& disk, std::string file) : disk_(disk), file_(std::move(file)) {}
+  // Looks up the file's size; to be called first.
   std::optional<runtime::disk_error> open();
   std::uint64_t size() const { return size_; }
   // The bytes of this part of the file, valid until the next call. Empty when the file ends before the end of
@@ -24,4 +24,4 @@
   bool failed_ = false;
 };
 
-}  // namespace herontally::disk
+}  // namespace herontally::storage
--- a/src/disk/format.cc
+++ b/src/storage/format.cc
@@ -1,13 +1,14 @@
-#include "disk/format.h"
+#include "storage/format.h"
 
 #include <string.h>
 #include <zlib.h>
 
-namespace herontally::disk {
+namespace herontally::storage {
 
 namespace {
-constexpr std::uint32_t batch_mark = 0x4c425448;  // differs from the slot's, so neither is read as the other
-constexpr std::uint32_t slot_mark = 0x54534c48;
+constexpr std::uint32_t batch_magic =
+    0x4c425448;  // differs from the slot's, so that neither is read as the other
+constexpr std::uint32_t slot_magic = 0x54534c48;
 constexpr std::size_t flag_bytes = 1, size_bytes = 4;
 
 template <class T>
@@ -22,11 +23,11 @@
 }
 
 // The part of a batch's head that its checksum covers.
-std::string covered_part(const batch_head& head) {
+std::string covered_part(const batch_header& header) {
   std::string covered;
-  put(covered, head.generation);
-  put(covered, head.sequence);
-  put(covered, head.payload_bytes);
+  put(covered, header.generation);
+  put(covered, header.sequence);
+  put(covered, header.payload_bytes);
   return covered;
 }
 }  // namespace
@@ -36,15 +37,15 @@
       crc32(before, reinterpret_cast<const Bytef*>(bytes.data()), static_cast<uInt>(bytes.size())));
 }
 
-std::uint32_t joined_checksum(std::uint32_t first, std::uint32_t second, std::size_t second_bytes) {
+std::uint32_t combined_checksum(std::uint32_t first, std::uint32_t second, std::size_t second_bytes) {
   return static_cast<std::uint32_t>(crc32_combine(first, second, static_cast<z_off_t>(second_bytes)));
 }
 
-std::size_t change_head_bytes(std::string_view key) {
+std::size_t change_header_bytes(std::string_view key) {
   return flag_bytes + size_bytes + key.size() + size_bytes;
 }
 
-std::string pack_change_head(std::string_view key, std::optional<std::size_t> value_bytes) {
+std::string pack_change_header(std::string_view key, std::optional<std::size_t> value_bytes) {
   std::string out;
   out.push_back(value_bytes ? 1 : 0);
   put(out, static_cast<std::uint32_t>(key.size()));
@@ -72,69 +73,69 @@
   std::size_t key_bytes = get<std::uint32_t>(bytes, flag_bytes);
   found.key = bytes.substr(flag_bytes + size_bytes, key_bytes);
   if (bytes[0] == 0) return found;
-  found.value_offset = change_head_bytes(found.key);
+  found.value_offset = change_header_bytes(found.key);
   found.value = bytes.substr(found.value_offset, size.bytes - found.value_offset);
   return found;
 }
 
-bool batch_head::covers(std::string_view payload) const {
-  return disk::checksum(payload, disk::checksum(covered_part(*this))) == checksum;
+bool batch_header::covers(std::string_view payload) const {
+  return storage::checksum(payload, storage::checksum(covered_part(*this))) == checksum;
 }
 
 std::string pack_batch(std::uint64_t generation, std::uint64_t sequence, const std::vector<change>& changes) {
   std::size_t payload_bytes = 0;
   for (auto& entry : changes)
-    payload_bytes += change_head_bytes(entry.key) + (entry.value ? entry.value->size() : 0);
+    payload_bytes += change_header_bytes(entry.key) + (entry.value ? entry.value->size() : 0);
   std::string payload;
-  payload.reserve(batch_head_bytes + payload_bytes);
+  payload.reserve(batch_header_bytes + payload_bytes);
   for (auto& entry : changes) {
     auto value_bytes = entry.value ? std::optional(entry.value->size()) : std::nullopt;
-    payload += pack_change_head(entry.key, value_bytes);
+    payload += pack_change_header(entry.key, value_bytes);
     if (entry.value) payload += *entry.value;
   }
-  batch_head head{generation, sequence, static_cast<std::uint32_t>(payload.size()), 0};
-  std::string covered = covered_part(head);
+  batch_header header{generation, sequence, static_cast<std::uint32_t>(payload.size()), 0};
+  std::string covered = covered_part(header);
   std::string out;
-  put(out, batch_mark);
+  put(out, batch_magic);
   out += covered;
   put(out, checksum(payload, checksum(covered)));
   payload.insert(0, out);
   return payload;
 }
 
-std::optional<batch_head> read_batch_head(std::string_view bytes) {
-  if (bytes.size() < batch_head_bytes || get<std::uint32_t>(bytes, 0) != batch_mark) return std::nullopt;
-  batch_head head;
-  head.generation = get<std::uint64_t>(bytes, 4);
-  head.sequence = get<std::uint64_t>(bytes, 12);
-  head.payload_bytes = get<std::uint32_t>(bytes, 20);
-  head.checksum = get<std::uint32_t>(bytes, 24);
-  return head;
+std::optional<batch_header> read_batch_header(std::string_view bytes) {
+  if (bytes.size() < batch_header_bytes || get<std::uint32_t>(bytes, 0) != batch_magic) return std::nullopt;
+  batch_header header;
+  header.generation = get<std::uint64_t>(bytes, 4);
+  header.sequence = get<std::uint64_t>(bytes, 12);
+  header.payload_bytes = get<std::uint32_t>(bytes, 20);
+  header.checksum = get<std::uint32_t>(bytes, 24);
+  return header;
 }
 
-std::uint32_t slot_head::seed() const {
+std::uint32_t slot_header::seed() const {
   std::string covered;
   put(covered, generation);
   put(covered, payload_bytes);
-  return disk::checksum(covered);
+  return storage::checksum(covered);
 }
 
-std::string pack_slot_head(const slot_head& head) {
+std::string pack_slot_header(const slot_header& header) {
   std::string out;
-  put(out, slot_mark);
-  put(out, head.generation);
-  put(out, head.payload_bytes);
-  put(out, head.checksum);
+  put(out, slot_magic);
+  put(out, header.generation);
+  put(out, header.payload_bytes);
+  put(out, header.checksum);
   return out;
 }
 
-std::optional<slot_head> read_slot_head(std::string_view bytes) {
-  if (bytes.size() < slot_head_bytes || get<std::uint32_t>(bytes, 0) != slot_mark) return std::nullopt;
-  slot_head head;
-  head.generation = get<std::uint64_t>(bytes, 4);
-  head.payload_bytes = get<std::uint64_t>(bytes, 12);
-  head.checksum = get<std::uint32_t>(bytes, 20);
-  return head;
+std::optional<slot_header> read_slot_header(std::string_view bytes) {
+  if (bytes.size() < slot_header_bytes || get<std::uint32_t>(bytes, 0) != slot_magic) return std::nullopt;
+  slot_header header;
+  header.generation = get<std::uint64_t>(bytes, 4);
+  header.payload_bytes = get<std::uint64_t>(bytes, 12);
+  header.checksum = get<std::uint32_t>(bytes, 20);
+  return header;
 }
 
-}  // namespace herontally::disk
+}  // namespace herontally::storage
--- a/src/disk/index.h
+++ b/src/storage/record_index.h
@@ -1,11 +1,12 @@
 // The records of a store by key: where each value lies on disk, and the values that are kept in memory.
+// Internal to the storage package; the store owns it.
 #pragma once
 #include <array>
 #include <map>
 
-#include "disk/store.h"
+#include "storage/log_store.h"
 
-namespace herontally::disk {
+namespace herontally::storage {
 
 struct index_entry {
   std::string value;  // only while `in_memory`
@@ -18,13 +19,13 @@
   bool damaged = false;  // can't be read any more: as good as absent
 };
 
-class index {
+class record_index {
  public:
   using map = std::map<std::string, index_entry>;
 
-  explicit index(const options* choice) : choice_(choice) {}
+  explicit record_index(const log_store_options* options) : options_(options) {}
   void clear();
-  // Puts a value that stands at this place of the log or the slot.
+  // Inserts or replaces a record whose value lies at this offset of the log or the slot.
   void put(std::string_view key, std::string_view value, bool in_log, std::uint64_t offset);
   void remove(const std::string& key);
   // Takes the record out of all counts; its entry goes with `remove_damaged`.
@@ -33,22 +34,23 @@
   // Nothing for a damaged record.
   const index_entry* find(const std::string& key) const;
   const map& entries() const { return entries_; }
-  // All records stand in the slot now, in the order of their keys, from its payload's first byte on.
-  void moved_to_slot();
+  // After a compaction: all records lie in the slot, in the order of their keys, from the payload's first
+  // byte on.
+  void mark_all_compacted();
 
   std::size_t count() const { return count_; }
   std::int64_t live_bytes() const { return live_bytes_; }
-  const std::vector<std::uint64_t>& sums() const { return sums_; }
+  const std::vector<std::uint64_t>& checksums() const { return checksums_; }
 
  private:
   void count_in(const std::string& key, const index_entry& entry);
   void count_out(const std::string& key, const index_entry& entry);
 
-  const options* choice_;
+  const log_store_options* options_;
   map entries_;
   std::size_t count_ = 0;
   std::int64_t live_bytes_ = 0;
-  std::vector<std::uint64_t> sums_ = std::vector<std::uint64_t>(ranges, 0);
+  std::vector<std::uint64_t> checksums_ = std::vector<std::uint64_t>(range_count, 0);
 };
 
-}  // namespace herontally::disk
+}  // namespace herontally::storage
--- a/tests/register_test.cc
+++ b/tests/consensus_test.cc
@@ -1,7 +1,7 @@
 // The register over simulated storage machines: agreement, identity, moves, repair.
 #include <catch2/catch.hpp>
 
-#include "store_group.h"
+#include "replica_group_fixture.h"
 
 using namespace herontally;
 using runtime::second;
@@ -9,10 +9,10 @@
 
 namespace {
 
-reg::mutator set_to(std::string value) {
+consensus::mutator set_to(std::string value) {
   return [value](const std::optional<std::string>&) { return std::optional<std::string>(value); };
 }
-reg::mutator append_once(std::string word) {
+consensus::mutator append_once(std::string word) {
   return [word](const std::optional<std::string>& now) -> std::optional<std::string> {
     std::string text = now.value_or("");
     if (text.find(word) != std::string::npos) return std::nullopt;
@@ -33,14 +33,14 @@
       site.world.machine(name, "z");
       auto maker = site.writer(name);
       site.world.runtime_of(name).spawn(
-          [](reg::proposer maker, std::string name,
+          [](consensus::proposer maker, std::string name,
              std::shared_ptr<std::vector<std::string>> done) -> runtime::task<> {
-            auto runtime = maker.port().runtime();
+            auto runtime = maker.endpoint().runtime();
             for (int each = 0; each < 8; ++each) {
               std::string word = "<" + name + "." + std::to_string(each) + ">";
-              reg::mutator add = append_once(word);
+              consensus::mutator add = append_once(word);
               auto result = co_await maker.change("k", add, runtime.now() + 2 * second);
-              bool known = result.end == reg::change_end::settled || result.end == reg::change_end::declined;
+              bool known = result.known();
               if (known) done->push_back(word);
               co_await runtime.sleep(static_cast<runtime::microseconds>(runtime.draw(100000)));
             }
@@ -80,7 +80,7 @@
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     group site(seed);
     site.begin();
-    std::map<std::string, reg::proposer> writers;
+    std::map<std::string, consensus::proposer> writers;
     for (auto* name : {"wa", "wb"}) writers.emplace(name, site.writer(name));
     std::vector<std::string> words;
     // Runs of one writer, so that it goes ahead, broken by the other.
@@ -89,12 +89,12 @@
       words.push_back("<" + name + std::to_string(each) + ">");
       auto result = site.run(
           name, writers.at(name).change("k", append_once(words.back()), site.deadline(name, 3 * second)));
-      REQUIRE(result.end == reg::change_end::settled);
+      REQUIRE(result.status == consensus::change_status::committed);
       INFO("seed " << seed);
       for (auto& word : words) REQUIRE(result.value->find(word) != std::string::npos);
     }
     for (auto& [name, writer] : writers)
-      rounds += writer.port().journal().value("herontally_register_rounds_total");
+      rounds += writer.endpoint().logger().value("herontally_register_rounds_total");
   }
   // Fewer than two rounds a change, or nobody went ahead.
   REQUIRE(rounds < 20 * 12 * 2);
@@ -106,13 +106,13 @@
   // The third voter misses the value, the second one loses its disk: no majority has both memory and voice.
   site.world.cut("w", "s3");
   auto written = site.run("w", writer.change("k", set_to("precious"), site.deadline("w", 3 * second)));
-  REQUIRE(written.end == reg::change_end::settled);
+  REQUIRE(written.status == consensus::change_status::committed);
   site.world.kill("s1", hsim::disk_loss::none);
   site.world.kill("s2", hsim::disk_loss::all, true);
   site.boot("s2");
   site.world.heal("w", "s3");
   auto blind = site.run("w", writer.read("k", site.deadline("w", 2 * second)));
-  REQUIRE(blind.end == reg::change_end::unreachable);
+  REQUIRE(blind.status == consensus::change_status::unreachable);
   // With the first one back there is a majority again, and the value with it.
   site.boot("s1");
   auto now = site.run("w", writer.read("k", site.deadline("w", 5 * second)));
@@ -127,21 +127,23 @@
       site.run("w", writer.change("k" + std::to_string(each), set_to("v" + std::to_string(each)),
                                   site.deadline("w", 3 * second)));
     REQUIRE(site.run("w", writer.put_content("d1", "body", site.deadline("w", 3 * second), false)));
-    reg::view first = writer.current();
+    consensus::view first = writer.current_view();
     auto lay = [first](const std::optional<std::string>&) {
-      return std::optional<std::string>(reg::view_text(first));
+      return std::optional<std::string>(consensus::to_text(first));
     };
-    site.run("w", writer.change(reg::view_key_of("store"), lay, site.deadline("w", 3 * second)));
+    site.run("w",
+             writer.change(reconfiguration::view_register_key("store"), lay, site.deadline("w", 3 * second)));
     std::string lost = "s" + std::to_string(1 + seed % 3);
     site.world.kill(lost, hsim::disk_loss::all, true);
     std::string leaving;
     for (auto& place : first.voters)
       if (place.node == lost) leaving = place.id;
-    reg::replacement wanted{leaving, site.places({"s4"})[0]};
-    auto moved = site.run("w", reg::replace_voter(writer, writer, wanted, site.deadline("w", 30 * second)));
-    REQUIRE(std::holds_alternative<reg::view>(moved));
-    REQUIRE(std::get<reg::view>(moved).before.empty());
-    REQUIRE(std::get<reg::view>(moved).number == 3);
+    reconfiguration::replacement wanted{leaving, site.places({"s4"})[0]};
+    auto moved = site.run(
+        "w", reconfiguration::replace_voter(writer, writer, wanted, site.deadline("w", 30 * second)));
+    REQUIRE(std::holds_alternative<consensus::view>(moved));
+    REQUIRE(std::get<consensus::view>(moved).previous_voters.empty());
+    REQUIRE(std::get<consensus::view>(moved).number == 3);
     for (int each = 0; each < 20; ++each)
       REQUIRE(site.voters["s4"]->accepted_value("k" + std::to_string(each)) == "v" + std::to_string(each));
     REQUIRE(site.voters["s4"]->content("d1") == "body");
@@ -157,15 +159,17 @@
   group site(9, 4);
   auto writer = site.begin();
   site.run("w", writer.change("k", set_to("old"), site.deadline("w", 3 * second)));
-  reg::view first = writer.current();
+  consensus::view first = writer.current_view();
   auto lay = [first](const std::optional<std::string>&) {
-    return std::optional<std::string>(reg::view_text(first));
+    return std::optional<std::string>(consensus::to_text(first));
   };
-  site.run("w", writer.change(reg::view_key_of("store"), lay, site.deadline("w", 3 * second)));
+  site.run("w",
+           writer.change(reconfiguration::view_register_key("store"), lay, site.deadline("w", 3 * second)));
   auto before = site.voters["s2"]->id();
-  reg::replacement wanted{before, site.places({"s4"})[0]};
-  auto moved = site.run("w", reg::replace_voter(writer, writer, wanted, site.deadline("w", 30 * second)));
-  REQUIRE(std::holds_alternative<reg::view>(moved));
+  reconfiguration::replacement wanted{before, site.places({"s4"})[0]};
+  auto moved =
+      site.run("w", reconfiguration::replace_voter(writer, writer, wanted, site.deadline("w", 30 * second)));
+  REQUIRE(std::holds_alternative<consensus::view>(moved));
   site.world.run_for(2 * second);
   REQUIRE(site.voters["s2"]->id() != before);
   REQUIRE_FALSE(site.voters["s2"]->accepted_value("k").has_value());
--- a/tests/control_cost_test.cc
+++ b/tests/control_cost_test.cc
@@ -5,7 +5,7 @@
 #include "hagent/node.h"
 #include "hcore/node.h"
 #include "hsim/world.h"
-#include "members/members.h"
+#include "membership/member_list.h"
 
 using namespace herontally;
 using runtime::millisecond;
@@ -16,22 +16,22 @@
 struct table_fleet {
   hsim::world world{5};
   std::vector<std::string> seeds;
-  std::map<std::string, std::shared_ptr<members::members>> nodes;
-  std::map<std::string, logging::journal> lines;
+  std::map<std::string, std::shared_ptr<membership::member_list>> nodes;
+  std::map<std::string, logging::logger> lines;
 
   void boot(int number, int speaks) {
     std::string name = "n" + std::to_string(number), address = "10.0.0." + std::to_string(number) + ":7000";
     world.machine(name, "z");
     world.boot(name);
-    auto journal = lines.emplace(name, logging::journal(name, [](auto&, auto&) {})).first->second;
-    wire::port port(world.runtime_of(name), name, journal);
-    if (speaks > 0) port.speak(speaks);
-    port.listen(address);
-    wire::member self;
+    auto logger = lines.emplace(name, logging::logger(name, [](auto&, auto&) {})).first->second;
+    rpc::endpoint endpoint(world.runtime_of(name), name, logger);
+    if (speaks > 0) endpoint.set_version(speaks);
+    endpoint.listen(address);
+    rpc::member self;
     self.name = name;
-    self.role = "node";
+    self.role = rpc::node_role::agent;
     self.inner = address;
-    nodes[name] = std::make_shared<members::members>(port, self, seeds);
+    nodes[name] = std::make_shared<membership::member_list>(endpoint, self, seeds);
     nodes[name]->start();
   }
   table_fleet(int count, std::function<int(int)> speaks) {
@@ -40,12 +40,12 @@
   }
   bool agree(std::size_t count) {
     for (auto& [name, known] : nodes)
-      if (world.find(name).up && known->live("node").size() != count) return false;
+      if (world.find(name).up && known->live(rpc::node_role::agent).size() != count) return false;
     return true;
   }
   double total(const std::string& counter) {
     double sum = 0;
-    for (auto& [name, journal] : lines) sum += journal.value(counter);
+    for (auto& [name, logger] : lines) sum += logger.value(counter);
     return sum;
   }
   double bytes() {
@@ -53,18 +53,18 @@
   }
 };
 
-template <class Ask>
-std::optional<typename Ask::receipt> ask(hsim::world& world, wire::port port, std::string address,
-                                         Ask question) {
-  std::optional<typename Ask::receipt> result;
+template <class Request>
+std::optional<typename Request::reply> ask(hsim::world& world, rpc::endpoint endpoint, std::string address,
+                                           Request request) {
+  std::optional<typename Request::reply> result;
   bool done = false;
-  auto work = [](wire::port from, std::string to, Ask words, std::optional<typename Ask::receipt>* out,
-                 bool* ended) -> runtime::task<> {
-    auto answer = co_await from.ask(std::move(to), std::move(words), second);
-    if (auto* receipt = std::get_if<typename Ask::receipt>(&answer)) *out = *receipt;
+  auto work = [](rpc::endpoint from, std::string to, Request words,
+                 std::optional<typename Request::reply>* out, bool* ended) -> runtime::task<> {
+    auto answer = co_await from.call(std::move(to), std::move(words), second);
+    if (auto* reply = std::get_if<typename Request::reply>(&answer)) *out = *reply;
     *ended = true;
   };
-  world.runtime_of("asker").spawn(work(port, std::move(address), std::move(question), &result, &done));
+  world.runtime_of("asker").spawn(work(endpoint, std::move(address), std::move(request), &result, &done));
   REQUIRE(world.run_until([&] { return done; }, 3 * second));
   return result;
 }
@@ -72,8 +72,8 @@
 struct one_node {
   hsim::world world{3};
   settings::settings place;
-  wire::port port;
-  one_node() : port(boot_asker(world), "asker", logging::journal("asker", [](auto&, auto&) {})) {
+  rpc::endpoint endpoint;
+  one_node() : endpoint(boot_asker(world), "asker", logging::logger("asker", [](auto&, auto&) {})) {
     world.machine("node", "z");
     world.boot("node");
     place.name = "node";
@@ -94,8 +94,8 @@
     world.runtime_of("node").spawn(work(&node));
     world.run_for(100 * millisecond);
   }
-  logging::journal journal() {
-    return logging::journal("node", [](auto&, auto&) {});
+  logging::logger logger() {
+    return logging::logger("node", [](auto&, auto&) {});
   }
 };
 
@@ -116,7 +116,7 @@
 }
 
 TEST_CASE("nodes of this version and the one before find and lose each other") {
-  table_fleet site(20, [](int number) { return number % 2 ? wire::protocol_version - 1 : 0; });
+  table_fleet site(20, [](int number) { return number % 2 ? rpc::protocol_version - 1 : 0; });
   REQUIRE(site.world.run_until([&] { return site.agree(20); }, 3 * second));
   site.world.kill("n7", hsim::disk_loss::none, true);
   REQUIRE(site.world.run_until([&] { return site.agree(19); }, 8 * second));
@@ -124,60 +124,66 @@
 
 TEST_CASE("an agent tells its proxy the membership rows only when they have changed") {
   one_node own;
-  hagent::node agent(own.world.runtime_of("node"), own.place, own.journal());
+  hagent::node agent(own.world.runtime_of("node"), own.place, own.logger());
   own.start(agent);
-  wire::news_ask question;
-  question.node = "proxy";
-  question.http = "10.0.0.2:7000";
-  question.incarnation = 1;
-  auto first = ask(own.world, own.port, own.place.inner, question);
+  rpc::config_update_request request;
+  request.node = "proxy";
+  request.http = "10.0.0.2:7000";
+  request.incarnation = 1;
+  auto first = ask(own.world, own.endpoint, own.place.inner, request);
   REQUIRE(first);
   REQUIRE(first->members_version > 0);
-  REQUIRE_FALSE(members::from_text(first->members).empty());
+  REQUIRE_FALSE(membership::members_from_text(first->members).empty());
   // The first question made the agent keep a row for the proxy; then nothing changes.
   own.world.run_for(second);
-  question.members_version = ask(own.world, own.port, own.place.inner, question)->members_version;
-  auto again = ask(own.world, own.port, own.place.inner, question);
+  request.members_version = ask(own.world, own.endpoint, own.place.inner, request)->members_version;
+  auto again = ask(own.world, own.endpoint, own.place.inner, request);
   REQUIRE(again->members.empty());
-  REQUIRE(again->members_version == question.members_version);
-  wire::member store;
+  REQUIRE(again->members_version == request.members_version);
+  rpc::member store;
   store.name = "store-9";
-  store.role = "hstore";
+  store.role = rpc::node_role::store;
   store.inner = "10.0.0.9:7000";
   store.incarnation = 1;
-  store.status = "alive";
-  ask(own.world, own.port, own.place.inner, wire::probe{"", false, {store}, 0});
-  auto changed = ask(own.world, own.port, own.place.inner, question);
-  REQUIRE(changed->members_version > question.members_version);
+  store.status = rpc::member_status::alive;
+  ask(own.world, own.endpoint, own.place.inner, rpc::probe_request{"", false, {store}, 0});
+  auto changed = ask(own.world, own.endpoint, own.place.inner, request);
+  REQUIRE(changed->members_version > request.members_version);
   REQUIRE(changed->members.find("store-9") != std::string::npos);
   // A proxy that says no version, as one of the version before, is told all of them.
-  question.members_version = 0;
-  REQUIRE_FALSE(ask(own.world, own.port, own.place.inner, question)->members.empty());
+  request.members_version = 0;
+  REQUIRE_FALSE(ask(own.world, own.endpoint, own.place.inner, request)->members.empty());
 }
 
 TEST_CASE("an engine list is confirmed without its text, by a core that has it") {
   one_node own;
-  hcore::node core(own.world.runtime_of("node"), own.place, own.journal());
+  hcore::node core(own.world.runtime_of("node"), own.place, own.logger());
   own.start(core);
   std::string address = own.place.inner;
-  REQUIRE(ask(own.world, own.port, address, wire::engines_push{1, 1, ""})->verdict == "lacking");
-  REQUIRE(ask(own.world, own.port, address, wire::engines_push{1, 1, "[1]"})->verdict == "yes");
-  wire::news_ask question;
-  question.node = "agent";
-  auto first = ask(own.world, own.port, address, question);
+  REQUIRE(ask(own.world, own.endpoint, address, rpc::engine_list_request{1, 1, ""})->status ==
+          rpc::reply_status::content_missing);
+  REQUIRE(ask(own.world, own.endpoint, address, rpc::engine_list_request{1, 1, "[1]"})->status ==
+          rpc::reply_status::ok);
+  rpc::config_update_request request;
+  request.node = "agent";
+  auto first = ask(own.world, own.endpoint, address, request);
   REQUIRE(first->engines == "[1]");
   own.world.run_for(5 * second);
-  REQUIRE(ask(own.world, own.port, address, wire::engines_push{1, 1, ""})->verdict == "yes");
-  question.engines_epoch = 1;
-  question.engines_sequence = 1;
-  auto confirmed = ask(own.world, own.port, address, question);
+  REQUIRE(ask(own.world, own.endpoint, address, rpc::engine_list_request{1, 1, ""})->status ==
+          rpc::reply_status::ok);
+  request.engines_epoch = 1;
+  request.engines_sequence = 1;
+  auto confirmed = ask(own.world, own.endpoint, address, request);
   REQUIRE(confirmed->engines.empty());
   REQUIRE(confirmed->engines_age_milliseconds < 1000);
   // What it doesn't have it can't confirm, and the list at hand grows older.
   own.world.run_for(5 * second);
-  REQUIRE(ask(own.world, own.port, address, wire::engines_push{1, 2, ""})->verdict == "lacking");
-  REQUIRE(ask(own.world, own.port, address, question)->engines_age_milliseconds > 5000);
-  REQUIRE(ask(own.world, own.port, address, wire::engines_push{2, 1, "[2]"})->verdict == "yes");
-  REQUIRE(ask(own.world, own.port, address, question)->engines == "[2]");
-  REQUIRE(ask(own.world, own.port, address, wire::engines_push{1, 1, ""})->verdict == "behind");
+  REQUIRE(ask(own.world, own.endpoint, address, rpc::engine_list_request{1, 2, ""})->status ==
+          rpc::reply_status::content_missing);
+  REQUIRE(ask(own.world, own.endpoint, address, request)->engines_age_milliseconds > 5000);
+  REQUIRE(ask(own.world, own.endpoint, address, rpc::engine_list_request{2, 1, "[2]"})->status ==
+          rpc::reply_status::ok);
+  REQUIRE(ask(own.world, own.endpoint, address, request)->engines == "[2]");
+  REQUIRE(ask(own.world, own.endpoint, address, rpc::engine_list_request{1, 1, ""})->status ==
+          rpc::reply_status::ballot_outdated);
 }
--- a/tests/control_setting.h
+++ b/tests/control_setting.h
@@ -55,9 +55,9 @@
     place.platform = "10.0.2.1:80";
     place.founding = founding;
     place.list_rate = 40;
-    logging::journal journal(
+    logging::logger logger(
         name, [this, name](const std::string&, const json& line) { lines[name].push_back(line["event"]); });
-    auto node = std::make_shared<Node>(world.runtime_of(name), place, journal, more...);
+    auto node = std::make_shared<Node>(world.runtime_of(name), place, logger, more...);
     world.find(name).node = node;
     world.runtime_of(name).spawn(
         [](std::shared_ptr<Node> started) -> runtime::task<> { co_await started->start(); }(node));
@@ -83,11 +83,11 @@
       count += std::find(events.begin(), events.end(), event) != events.end() ? 1 : 0;
     return count;
   }
-  using answer = std::shared_ptr<std::optional<runtime::http_receipt>>;
+  using answer = std::shared_ptr<std::optional<runtime::http_response>>;
   answer begin(const std::string& core, const std::string& method, const std::string& path,
                const std::string& body = "", const std::string& base = "",
                runtime::microseconds timeout = second) {
-    auto out = std::make_shared<std::optional<runtime::http_receipt>>();
+    auto out = std::make_shared<std::optional<runtime::http_response>>();
     runtime::http_request request;
     request.method = method;
     request.path = path;
@@ -97,13 +97,13 @@
         .spawn([](runtime::handle runtime, std::string address, runtime::http_request request, answer out,
                   runtime::microseconds timeout) -> runtime::task<> {
           auto result = co_await runtime::http_fetch(runtime, address, request, timeout);
-          auto* receipt = std::get_if<runtime::http_receipt>(&result);
-          out->emplace(receipt ? *receipt : runtime::http_receipt{0, {}, ""});
+          auto* response = std::get_if<runtime::http_response>(&result);
+          out->emplace(response ? *response : runtime::http_response{0, {}, ""});
         }(world.runtime_of("operator"), control(core), request, out, timeout));
     return out;
   }
-  runtime::http_receipt ask(const std::string& core, const std::string& method, const std::string& path,
-                            const std::string& body = "", const std::string& base = "") {
+  runtime::http_response ask(const std::string& core, const std::string& method, const std::string& path,
+                             const std::string& body = "", const std::string& base = "") {
     auto out = begin(core, method, path, body, base);
     REQUIRE(world.run_until([&] { return out->has_value(); }, 5 * second));
     return **out;
--- a/tests/control_test.cc
+++ b/tests/control_test.cc
@@ -185,7 +185,7 @@
   site.world.run_for(4200 * millisecond);
   CHECK(site.logged("group of voters moved") == 1);
   // It holds the records, too, before it counts.
-  CHECK(site.logged("voter filled") == 1);
+  CHECK(site.logged("voter caught up") == 1);
 }
 
 TEST_CASE("an evacuation that was held up behind a cut is not begun again once its end is acknowledged") {
--- a/tests/door_setting.h
+++ b/tests/door_setting.h
@@ -6,7 +6,7 @@
 #include "forward/door.h"
 #include "ledger/programs.h"
 #include "platform/adapter.h"
-#include "store_group.h"
+#include "replica_group_fixture.h"
 
 namespace herontally::tests {
 
@@ -43,8 +43,8 @@
     auto runtime = stores.world.runtime_of("w");
     forward::door_options choice;
     choice.zone = "z";
-    logging::journal journal("w", [](auto&, auto&) {});
-    door = std::make_shared<forward::door>(runtime, journal, platform::make_dialect(),
+    logging::logger logger("w", [](auto&, auto&) {});
+    door = std::make_shared<forward::door>(runtime, logger, platform::make_dialect(),
                                            ledger::programs(writer), choice);
     runtime.http_serve("10.0.1.1:80",
                        [door = door, runtime](runtime::inbound_request request, gateway::writer out) {
--- a/tests/http_server_test.cc
+++ b/tests/http_server_test.cc
@@ -38,7 +38,7 @@
   CHECK(site.requests[0].target == "/a%2Fb/../c?x=%20&y");
   CHECK(site.requests[0].headers["x-a"] == "1, 2");
   CHECK(site.requests[0].headers["cookie"] == "p=1; q=2");
-  site.writers[0]->reply(rt::http_receipt{504, {}, ""});
+  site.writers[0]->reply(rt::http_response{504, {}, ""});
   REQUIRE(site.here.until([&] { return has(end, "\r\n\r\n"); }));
   CHECK(has(end, "HTTP/1.1 504 Gateway Timeout\r\n"));
   CHECK(has(end, "Content-Length: 0\r\n"));
@@ -70,7 +70,7 @@
   auto& end = site.send("GET / HTTP/1.1\r\nHost: h\r\n\r\n" + more);
   std::string body(3000000, 'b');
   site.writers[0]->last_on_connection();
-  site.writers[0]->reply(rt::http_receipt{200, {}, body});
+  site.writers[0]->reply(rt::http_response{200, {}, body});
   REQUIRE(site.here.until([&] { return end.ended; }));
   CHECK(!end.reset);
   CHECK(has(end, "Connection: close\r\n"));
@@ -95,7 +95,7 @@
     end.close();
     REQUIRE(site.here.until([&] { return gone > 0; }));
     CHECK(site.writers[0]->closed());
-    site.writers[0]->reply(rt::http_receipt{});
+    site.writers[0]->reply(rt::http_response{});
     site.here.settle();
     CHECK(gone == 1);
   }
@@ -107,7 +107,7 @@
   auto& end = site.send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
   int first = 0, second = 0;
   site.writers[0]->on_gone([&] { ++first; });
-  site.writers[0]->reply(rt::http_receipt{200, {}, "x"});
+  site.writers[0]->reply(rt::http_response{200, {}, "x"});
   REQUIRE(site.here.until([&] { return has(end, "\r\n\r\nx"); }));
   end.send("GET /2 HTTP/1.1\r\nHost: h\r\n\r\n");
   REQUIRE(site.here.until([&] { return site.requests.size() == 2; }));
@@ -124,6 +124,6 @@
   auto refused = ask(site.here, rt::http_request{}, site.at);
   REQUIRE(site.here.until([&] { return refused->over(); }));
   CHECK(!refused->failure->sent);
-  site.writers[0]->reply(rt::http_receipt{200, {}, "still"});
+  site.writers[0]->reply(rt::http_response{200, {}, "still"});
   REQUIRE(site.here.until([&] { return has(end, "still"); }));
 }
--- a/tests/ledger_test.cc
+++ b/tests/ledger_test.cc
@@ -2,7 +2,7 @@
 #include <catch2/catch.hpp>
 
 #include "ledger/book.h"
-#include "store_group.h"
+#include "replica_group_fixture.h"
 
 using namespace herontally;
 using runtime::second;
@@ -80,8 +80,8 @@
   REQUIRE_FALSE(ledger::from_text(document.dump()).readable);
   REQUIRE_FALSE(ledger::from_text("{cut").readable);
   REQUIRE(ledger::from_text(std::nullopt).readable);
-  auto receipt = ledger::receipt_from("{cut");
-  REQUIRE(receipt->state == "started");
+  auto record = ledger::call_record_from("{cut");
+  REQUIRE(record->state == "started");
   // Nothing is granted over such a head, and it is left as it was.
   group site(8);
   auto writer = site.begin();
@@ -99,16 +99,16 @@
   group site(9, 3, 40000);
   auto writer = site.begin();
   ledger::book mine(writer, [](const std::string&, std::int64_t) { return false; });
-  std::vector<std::pair<std::string, ledger::call_receipt>> begun;
+  std::vector<std::pair<std::string, ledger::call_record>> begun;
   auto last = ledger::book::call_end::mine;
   for (int call = 0; call < 500 && last == ledger::book::call_end::mine; ++call) {
-    ledger::call_receipt first;
+    ledger::call_record first;
     first.state = "started";
     first.request_id = "v" + std::to_string(call);
     std::string key = "r/p/labels/" + std::to_string(call);
     auto result = site.run("w", mine.begin_call(key, first, site.deadline("w", 3 * second)));
     last = result.end;
-    if (last == ledger::book::call_end::mine) begun.push_back({key, result.receipt});
+    if (last == ledger::book::call_end::mine) begun.push_back({key, result.record});
   }
   REQUIRE(last == ledger::book::call_end::full);
   REQUIRE(begun.size() > 10);
@@ -123,5 +123,5 @@
   auto look = site.run(
       "w", mine.look_call("r/p/labels/" + std::to_string(begun.size()), site.deadline("w", 3 * second)));
   REQUIRE(look.read);
-  REQUIRE_FALSE(look.receipt);
+  REQUIRE_FALSE(look.record);
 }
--- a/tests/store_setting.h
+++ b/tests/log_store_fixture.h
@@ -2,8 +2,8 @@
 #pragma once
 #include <catch2/catch.hpp>
 
-#include "disk/store.h"
 #include "hsim/world.h"
+#include "storage/log_store.h"
 
 namespace herontally::tests {
 
@@ -14,13 +14,13 @@
   return std::hash<std::string>()(key + "=" + std::string(value));
 }
 
-struct store_setting {
+struct log_store_fixture {
   hsim::world world;
-  disk::options choice;
-  logging::journal journal{"m", [](auto&, auto&) {}};
-  std::optional<disk::store> store;
+  storage::log_store_options choice;
+  logging::logger logger{"m", [](auto&, auto&) {}};
+  std::optional<storage::log_store> store;
 
-  explicit store_setting(std::uint64_t seed) : world(seed) {
+  explicit log_store_fixture(std::uint64_t seed) : world(seed) {
     choice.prefix = "b";
     choice.fingerprint = hash_of_record;
     choice.in_memory = [](const std::string&, std::size_t bytes) { return bytes < 16; };
@@ -28,18 +28,18 @@
   }
   hsim::sim_disk& disk() { return world.find("m").disk; }
   // A new process on the disk as it stands.
-  std::optional<disk::error> start() {
+  std::optional<storage::error> start() {
     store.reset();
     if (world.find("m").up) world.kill("m", hsim::disk_loss::none);
     world.boot("m");
-    store.emplace(world.runtime_of("m"), choice, journal);
+    store.emplace(world.runtime_of("m"), choice, logger);
     return store->recover();
   }
   // Nothing when the commit doesn't end, as when the power has gone.
-  std::optional<std::optional<disk::error>> commit(std::vector<disk::change> changes) {
-    auto result = std::make_shared<std::optional<std::optional<disk::error>>>();
-    auto work = [](disk::store* store, std::vector<disk::change> changes,
-                   std::shared_ptr<std::optional<std::optional<disk::error>>> result) -> runtime::task<> {
+  std::optional<std::optional<storage::error>> commit(std::vector<storage::change> changes) {
+    auto result = std::make_shared<std::optional<std::optional<storage::error>>>();
+    auto work = [](storage::log_store* store, std::vector<storage::change> changes,
+                   std::shared_ptr<std::optional<std::optional<storage::error>>> result) -> runtime::task<> {
       auto end = co_await store->commit(std::move(changes), true);
       result->emplace(end);
     };
@@ -47,14 +47,14 @@
     world.run_until([&] { return result->has_value(); }, runtime::second);
     return *result;
   }
-  void must_commit(std::vector<disk::change> changes) {
+  void must_commit(std::vector<storage::change> changes) {
     auto end = commit(std::move(changes));
     REQUIRE(end);
     REQUIRE_FALSE(*end);
   }
   records all() const {
     std::vector<std::string> keys;
-    store->list_from("", [&keys](const disk::listed_record& record) {
+    store->list_from("", [&keys](const storage::listed_record& record) {
       keys.push_back(record.key);
       return true;
     });
@@ -74,8 +74,8 @@
 };
 
 inline std::vector<std::uint64_t> sums_of(const records& content) {
-  std::vector<std::uint64_t> sums(disk::ranges, 0);
-  for (auto& [key, value] : content) sums[disk::range_of(key)] ^= hash_of_record(key, value);
+  std::vector<std::uint64_t> sums(storage::range_count, 0);
+  for (auto& [key, value] : content) sums[storage::range_of(key)] ^= hash_of_record(key, value);
   return sums;
 }
 
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -124,9 +124,9 @@
     int descriptor = socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in where = anywhere();
     bind(descriptor, reinterpret_cast<sockaddr*>(&where), sizeof where);
-    int port = port_of(descriptor);
+    int endpoint = port_of(descriptor);
     evutil_closesocket(descriptor);
-    return "127.0.0.1:" + std::to_string(port);
+    return "127.0.0.1:" + std::to_string(endpoint);
   }
   static void fire(evutil_socket_t, short, void* raw) { static_cast<timer*>(raw)->work(); }
   static void take(evconnlistener*, evutil_socket_t descriptor, sockaddr*, int, void* raw) {
--- a/tests/membership_change_test.cc
+++ b/tests/membership_change_test.cc
@@ -2,8 +2,8 @@
 // cross a change of the view.
 #include <algorithm>
 
-#include "register/fill_group.h"
-#include "store_group.h"
+#include "reconfiguration/group_catch_up.h"
+#include "replica_group_fixture.h"
 
 using namespace herontally;
 using namespace herontally::tests;
@@ -11,48 +11,49 @@
 
 namespace {
 
-reg::mutator set_to(const std::string& value) {
+consensus::mutator set_to(const std::string& value) {
   return [value](const std::optional<std::string>&) { return std::optional<std::string>(value); };
 }
 
 // Writes the group's view down as a register key of its own, as the core does.
-void lay_view(group& site, reg::proposer writer) {
-  reg::view first = writer.current();
+void lay_view(group& site, consensus::proposer writer) {
+  consensus::view first = writer.current_view();
   auto lay = [first](const std::optional<std::string>&) {
-    return std::optional<std::string>(reg::view_text(first));
+    return std::optional<std::string>(consensus::to_text(first));
   };
-  site.run("w", writer.change(reg::view_key_of("store"), lay, site.deadline("w", 3 * second)));
+  site.run("w",
+           writer.change(reconfiguration::view_register_key("store"), lay, site.deadline("w", 3 * second)));
 }
 
-void write_keys(group& site, reg::proposer writer, int count) {
+void write_keys(group& site, consensus::proposer writer, int count) {
   for (int each = 0; each < count; ++each)
     site.run("w", writer.change("k" + std::to_string(each), set_to("v" + std::to_string(each)),
                                 site.deadline("w", 3 * second)));
 }
 
-reg::view begin(group& site, reg::proposer writer, std::vector<std::string> wanted) {
-  auto begun =
-      site.run("w", reg::begin_move(writer, writer, site.places(wanted), 0, site.deadline("w", 5 * second)));
-  REQUIRE(std::holds_alternative<reg::view>(begun));
-  return std::get<reg::view>(begun);
+consensus::view begin(group& site, consensus::proposer writer, std::vector<std::string> wanted) {
+  auto begun = site.run("w", reconfiguration::begin_move(writer, writer, site.places(wanted), 0,
+                                                         site.deadline("w", 5 * second)));
+  REQUIRE(std::holds_alternative<consensus::view>(begun));
+  return std::get<consensus::view>(begun);
 }
 
-std::set<std::string> subset_of(const std::vector<reg::voter_place>& set, unsigned mask) {
+std::set<std::string> subset_of(const std::vector<consensus::voter_info>& set, unsigned mask) {
   std::set<std::string> chosen;
   for (std::size_t each = 0; each < set.size(); ++each)
     if (mask & (1u << each)) chosen.insert(set[each].id);
   return chosen;
 }
 
-bool is_majority(const std::vector<reg::voter_place>& set, const std::set<std::string>& chosen) {
-  return reg::view::majority(set, [&](const std::string& id) { return chosen.count(id) > 0; });
+bool is_majority(const std::vector<consensus::voter_info>& set, const std::set<std::string>& chosen) {
+  return consensus::has_majority(set, [&](const std::string& id) { return chosen.count(id) > 0; });
 }
 
 // The definition itself: every majority of the new voters meets a holder, whichever majority accepted.
-bool copies_suffice_by_enumeration(const reg::view& joint, const std::set<std::string>& filled) {
-  for (unsigned accepted = 0; accepted < (1u << joint.before.size()); ++accepted) {
-    auto holders = subset_of(joint.before, accepted);
-    if (!is_majority(joint.before, holders)) continue;
+bool copies_suffice_by_enumeration(const consensus::view& joint, const std::set<std::string>& filled) {
+  for (unsigned accepted = 0; accepted < (1u << joint.previous_voters.size()); ++accepted) {
+    auto holders = subset_of(joint.previous_voters, accepted);
+    if (!is_majority(joint.previous_voters, holders)) continue;
     holders.insert(filled.begin(), filled.end());
     std::set<std::string> holding_voters;
     for (auto& place : joint.voters)
@@ -65,19 +66,20 @@
 }  // namespace
 
 TEST_CASE("copies suffice exactly when each value accepted before is at a majority after") {
-  std::vector<reg::voter_place> machines;
+  std::vector<consensus::voter_info> machines;
   for (int each = 0; each < 7; ++each) machines.push_back({"v" + std::to_string(each), "", "", ""});
   int ends = 0, waits = 0;
   for (std::size_t before : {1u, 3u, 5u}) {
     for (std::size_t after : {1u, 3u, 5u}) {
       for (std::size_t offset = 0; offset + after <= machines.size(); ++offset) {
-        reg::view joint;
-        joint.before.assign(machines.begin(), machines.begin() + static_cast<std::ptrdiff_t>(before));
+        consensus::view joint;
+        joint.previous_voters.assign(machines.begin(),
+                                     machines.begin() + static_cast<std::ptrdiff_t>(before));
         auto from = machines.begin() + static_cast<std::ptrdiff_t>(offset);
         joint.voters.assign(from, from + static_cast<std::ptrdiff_t>(after));
         for (unsigned mask = 0; mask < (1u << after); ++mask) {
           auto filled = subset_of(joint.voters, mask);
-          bool suffices = reg::copies_suffice(joint, filled);
+          bool suffices = reconfiguration::copies_suffice(joint, filled);
           (suffices ? ends : waits) += 1;
           REQUIRE(suffices == copies_suffice_by_enumeration(joint, filled));
         }
@@ -94,19 +96,20 @@
     auto writer = site.begin();
     lay_view(site, writer);
     write_keys(site, writer, 20);
-    auto first = writer.current();
+    auto first = writer.current_view();
     auto joint = begin(site, writer, {"s1", "s2", "s4"});
     REQUIRE(joint.joint());
-    REQUIRE(site.run("w", reg::install_chosen(writer, joint, site.deadline("w", 3 * second))));
+    REQUIRE(site.run("w", reconfiguration::install_chosen(writer, joint, site.deadline("w", 3 * second))));
     site.run("w", writer.change("k1", set_to("joint"), site.deadline("w", 3 * second)));
     // The joining voter is gone for good, before it fetched anything.
     site.world.kill("s4", hsim::disk_loss::all, true);
-    REQUIRE_FALSE(site.run("w", reg::finish_move(writer, writer, site.deadline("w", 3 * second))));
+    REQUIRE_FALSE(
+        site.run("w", reconfiguration::finish_move(writer, writer, site.deadline("w", 3 * second))));
     auto amended = begin(site, writer, {"s1", "s2", back ? "s3" : "s5"});
     REQUIRE(amended.joint() == !back);
-    REQUIRE(site.run("w", reg::finish_move(writer, writer, site.deadline("w", 5 * second))));
-    REQUIRE_FALSE(writer.current().joint());
-    REQUIRE(writer.current().has(site.voters[back ? "s3" : "s5"]->id()));
+    REQUIRE(site.run("w", reconfiguration::finish_move(writer, writer, site.deadline("w", 5 * second))));
+    REQUIRE_FALSE(writer.current_view().joint());
+    REQUIRE(writer.current_view().includes(site.voters[back ? "s3" : "s5"]->id()));
     // And a second loss right after it is borne.
     site.world.kill("s1", hsim::disk_loss::all, true);
     for (int each = 0; each < 20; ++each) {
@@ -122,8 +125,8 @@
   lay_view(site, writer);
   write_keys(site, writer, 20);
   begin(site, writer, {"s1", "s2", "s3", "s4", "s5"});
-  REQUIRE(site.run("w", reg::finish_move(writer, writer, site.deadline("w", 5 * second))));
-  REQUIRE(writer.current().voters.size() == 5);
+  REQUIRE(site.run("w", reconfiguration::finish_move(writer, writer, site.deadline("w", 5 * second))));
+  REQUIRE(writer.current_view().voters.size() == 5);
   site.world.kill("s1", hsim::disk_loss::all, true);
   site.world.kill("s2", hsim::disk_loss::all, true);
   for (int each = 0; each < 20; ++each) {
@@ -137,14 +140,14 @@
   auto writer = site.begin();
   lay_view(site, writer);
   begin(site, writer, {"s1", "s2", "s3", "s4", "s5"});
-  REQUIRE(site.run("w", reg::finish_move(writer, writer, site.deadline("w", 5 * second))));
+  REQUIRE(site.run("w", reconfiguration::finish_move(writer, writer, site.deadline("w", 5 * second))));
   // One of those that stay misses what the leaving ones accepted.
   site.world.cut("w", "s1");
   write_keys(site, writer, 20);
   site.world.heal("w", "s1");
   begin(site, writer, {"s1", "s2", "s3"});
-  REQUIRE(site.run("w", reg::finish_move(writer, writer, site.deadline("w", 5 * second))));
-  REQUIRE(writer.current().voters.size() == 3);
+  REQUIRE(site.run("w", reconfiguration::finish_move(writer, writer, site.deadline("w", 5 * second))));
+  REQUIRE(writer.current_view().voters.size() == 3);
   site.world.kill("s2", hsim::disk_loss::all, true);
   for (int each = 0; each < 20; ++each) {
     auto now = site.run("w", writer.read("k" + std::to_string(each), site.deadline("w", 5 * second)));
@@ -157,11 +160,13 @@
   auto writer = site.begin();
   lay_view(site, writer);
   auto wanted = site.places({"s1", "s2", "s4"});
-  auto newer = site.run("w", reg::begin_move(writer, writer, wanted, 7, site.deadline("w", 5 * second)));
-  REQUIRE(std::holds_alternative<reg::view>(newer));
+  auto newer =
+      site.run("w", reconfiguration::begin_move(writer, writer, wanted, 7, site.deadline("w", 5 * second)));
+  REQUIRE(std::holds_alternative<consensus::view>(newer));
   auto other = site.places({"s1", "s2", "s5"});
-  auto older = site.run("w", reg::begin_move(writer, writer, other, 6, site.deadline("w", 5 * second)));
-  REQUIRE(std::get<reg::move_error>(older) == reg::move_error::superseded);
+  auto older =
+      site.run("w", reconfiguration::begin_move(writer, writer, other, 6, site.deadline("w", 5 * second)));
+  REQUIRE(std::get<reconfiguration::move_error>(older) == reconfiguration::move_error::superseded);
 }
 
 TEST_CASE("a ballot that was prepared before a move and reached one voter doesn't outrank what came after") {
@@ -170,28 +175,28 @@
   lay_view(site, writer);
   site.run("w", writer.change("k", set_to("first"), site.deadline("w", 3 * second)));
   // A writer whose clock is far ahead prepares at s2 and s3; its accept reaches s2 alone.
-  auto view_number = writer.current().number;
-  auto send = [&](const std::string& step, const std::string& voter) {
-    wire::voter_ask question;
-    question.step = step;
-    question.voter = site.voters[voter]->id();
-    question.view = view_number;
-    question.key = "k";
-    question.ballot = {std::int64_t{1} << 60, 99};
-    question.value = "ahead";
-    auto answer = site.run("w", writer.port().ask(group::address(voter), question, second));
-    return std::get<wire::voter_receipt>(answer).verdict;
+  auto view_number = writer.current_view().number;
+  auto send = [&](rpc::vote_phase phase, const std::string& voter) {
+    rpc::vote_request request;
+    request.phase = phase;
+    request.voter = site.voters[voter]->id();
+    request.view = view_number;
+    request.key = "k";
+    request.ballot = {std::int64_t{1} << 60, 99};
+    request.value = "ahead";
+    auto answer = site.run("w", writer.endpoint().call(group::address(voter), request, second));
+    return std::get<rpc::vote_reply>(answer).status;
   };
-  REQUIRE(send("prepare", "s2") == "yes");
-  REQUIRE(send("prepare", "s3") == "yes");
-  REQUIRE(send("accept", "s2") == "yes");
+  REQUIRE(send(rpc::vote_phase::prepare, "s2") == rpc::reply_status::ok);
+  REQUIRE(send(rpc::vote_phase::prepare, "s3") == rpc::reply_status::ok);
+  REQUIRE(send(rpc::vote_phase::accept, "s2") == rpc::reply_status::ok);
   // s3, which holds the promise, is replaced while s2 is out of reach.
   site.world.cut("w", "s2");
   for (auto name : {"s1", "s3", "s4"}) site.world.cut(name, "s2");
   begin(site, writer, {"s1", "s2", "s4"});
-  REQUIRE(site.run("w", reg::finish_move(writer, writer, site.deadline("w", 5 * second))));
+  REQUIRE(site.run("w", reconfiguration::finish_move(writer, writer, site.deadline("w", 5 * second))));
   auto written = site.run("w", writer.change("k", set_to("second"), site.deadline("w", 5 * second)));
-  REQUIRE(written.end == reg::change_end::settled);
+  REQUIRE(written.status == consensus::change_status::committed);
   site.world.heal_all();
   site.world.run_for(5 * second);
   site.world.kill("s1", hsim::disk_loss::none);
--- a/tests/members_test.cc
+++ b/tests/membership_test.cc
@@ -1,9 +1,8 @@
 // Membership: nodes find each other from seeds, lose the dead and keep the living.
-#include "members/members.h"
-
 #include <catch2/catch.hpp>
 
 #include "hsim/world.h"
+#include "membership/member_list.h"
 
 using namespace herontally;
 
@@ -11,7 +10,7 @@
 
 struct fleet {
   hsim::world world;
-  std::map<std::string, std::shared_ptr<members::members>> nodes;
+  std::map<std::string, std::shared_ptr<membership::member_list>> nodes;
   std::vector<std::string> seeds;
   explicit fleet(std::uint64_t seed) : world(seed) {}
 
@@ -20,13 +19,13 @@
     std::string name = "n" + std::to_string(number);
     world.machine(name, "z");
     world.boot(name);
-    wire::port port(world.runtime_of(name), name, logging::journal(name, [](auto&, auto&) {}));
-    port.listen(address(number));
-    wire::member self;
+    rpc::endpoint endpoint(world.runtime_of(name), name, logging::logger(name, [](auto&, auto&) {}));
+    endpoint.listen(address(number));
+    rpc::member self;
     self.name = name;
-    self.role = "node";
+    self.role = rpc::node_role::agent;
     self.inner = address(number);
-    auto known = std::make_shared<members::members>(port, self, seeds);
+    auto known = std::make_shared<membership::member_list>(endpoint, self, seeds);
     known->start();
     nodes[name] = known;
   }
@@ -37,7 +36,8 @@
   // Every node that is up believes exactly these to be alive.
   bool agree(std::size_t count) {
     for (auto& [name, known] : nodes)
-      if (world.find(name).up && !world.find(name).frozen && known->live("node").size() != count)
+      if (world.find(name).up && !world.find(name).frozen &&
+          known->live(rpc::node_role::agent).size() != count)
         return false;
     return true;
   }
--- a/tests/model/clients.h
+++ b/tests/model/clients.h
@@ -2,10 +2,10 @@
 #pragma once
 #include <map>
 
+#include "consensus/proposer.h"
 #include "hsim/world.h"
 #include "model/history.h"
 #include "model/plan.h"
-#include "register/proposer.h"
 
 namespace herontally::model {
 
@@ -25,15 +25,15 @@
 };
 using shared_context = std::shared_ptr<client_context>;
 
-reg::proposer make_proposer(const shared_context& context, const std::string& machine);
+consensus::proposer make_proposer(const shared_context& context, const std::string& machine);
 
 // Several tasks that share one proposer, as a node's do: each reads and compare-and-sets over the keys until
 // the context says otherwise.
-void start_writer(shared_context context, std::string name, reg::proposer group);
+void start_writer(shared_context context, std::string name, consensus::proposer group);
 // Reads every key once; true when all could be read.
-runtime::task<bool> read_all(shared_context context, std::string name, reg::proposer group,
+runtime::task<bool> read_all(shared_context context, std::string name, consensus::proposer group,
                              runtime::microseconds deadline);
 // Replaces lost voters by spares, finishes moves, and moves the group without need now and then.
-runtime::task<> move_forever(shared_context context, reg::proposer group);
+runtime::task<> move_forever(shared_context context, consensus::proposer group);
 
 }  // namespace herontally::model
--- a/tests/model/cluster.h
+++ b/tests/model/cluster.h
@@ -6,7 +6,7 @@
 
 #include "hsim/world.h"
 #include "model/plan.h"
-#include "register/voter.h"
+#include "replication/voter.h"
 
 namespace herontally::model {
 
@@ -15,7 +15,7 @@
 // One storage machine: its present voter and the faults that it suffers.
 struct storage_machine {
   std::string name;
-  std::shared_ptr<reg::voter> voter;
+  std::shared_ptr<replication::voter> voter;
   bool isolated = false;
   bool losing_power = false;
 };
@@ -27,7 +27,7 @@
   std::vector<std::string> storage_names() const;
   storage_machine& storage(const std::string& name);
   // The places of the first `count` machines; their identities are asked for when the group begins.
-  std::vector<reg::voter_place> founders(int count) const;
+  std::vector<consensus::voter_info> founders(int count) const;
 
   void boot(const std::string& name);
   void kill(const std::string& name, hsim::disk_loss loss);
@@ -35,7 +35,7 @@
   // half of each voter set that may be relied on.
   bool may_lose(const std::string& name) const;
   // The newest view that a running voter has installed, or that it has accepted as the next one.
-  reg::view newest_view() const;
+  consensus::view newest_view() const;
   // Whether the newest view that a running voter has installed is a joint one.
   bool move_open() const;
   // One line for each machine: its identity and the view that it has installed.
@@ -47,11 +47,11 @@
   bool whole() const;
 
  private:
-  bool impaired(const reg::voter_place& place) const;
+  bool impaired(const consensus::voter_info& place) const;
   bool relies_on(const std::string& name) const;
   std::size_t recent_spare_losses() const;
-  std::map<std::int64_t, std::vector<reg::view>> views_seen() const;
-  std::vector<reg::view> relied_on() const;
+  std::map<std::int64_t, std::vector<consensus::view>> views_seen() const;
+  std::vector<consensus::view> relied_on() const;
 
   hsim::world& world_;
   std::vector<std::string> names_;
@@ -62,6 +62,6 @@
   std::vector<runtime::microseconds> spare_losses_;
 };
 
-wire::port make_port(hsim::world& world, const std::string& machine);
+rpc::endpoint make_port(hsim::world& world, const std::string& machine);
 
 }  // namespace herontally::model
--- a/tests/model/run.cc
+++ b/tests/model/run.cc
@@ -2,7 +2,7 @@
 
 #include "model/clients.h"
 #include "model/injector.h"
-#include "register/change_view.h"
+#include "reconfiguration/view_install.h"
 
 namespace herontally::model {
 
@@ -72,20 +72,20 @@
   }
 
   // The group's first view, installed and written under its own key.
-  static runtime::task<> begin_group(reg::proposer founder, std::vector<reg::voter_place> voters,
+  static runtime::task<> begin_group(consensus::proposer founder, std::vector<consensus::voter_info> voters,
                                      std::shared_ptr<std::optional<bool>> done) {
-    auto deadline = founder.port().runtime().now() + begin_timeout;
-    auto begun = co_await reg::begin_group(founder.port(), group_name, voters, deadline);
-    auto* first = std::get_if<reg::view>(&begun);
+    auto deadline = founder.endpoint().runtime().now() + begin_timeout;
+    auto begun = co_await reconfiguration::begin_group(founder.endpoint(), group_name, voters, deadline);
+    auto* first = std::get_if<consensus::view>(&begun);
     *done = first != nullptr;
     if (!first) co_return;
     founder.learn(*first);
-    std::string text = reg::view_text(*first);
+    std::string text = consensus::to_text(*first);
     // Over nothing only, as the product's founders do: a round that is repeated must not bring it back.
-    reg::mutator lay = [text](const std::optional<std::string>& current) {
+    consensus::mutator lay = [text](const std::optional<std::string>& current) {
       return current ? std::nullopt : std::optional<std::string>(text);
     };
-    auto written = co_await founder.change(reg::view_key_of(group_name), lay, deadline);
+    auto written = co_await founder.change(reconfiguration::view_register_key(group_name), lay, deadline);
     *done = written.value == text;
   }
 
@@ -109,7 +109,7 @@
     check_histories();
     if (result_.failure) return;
     if (!readable) fail(violation_kind::not_readable, "a key can't be read after the faults");
-    if (!whole) fail(violation_kind::not_whole, "newest view: " + reg::view_text(group_.newest_view()));
+    if (!whole) fail(violation_kind::not_whole, "newest view: " + consensus::to_text(group_.newest_view()));
     if (!usable) fail(violation_kind::spares_unusable, "a machine keeps what it can't vote with");
   }
 
@@ -117,7 +117,7 @@
     auto done = std::make_shared<std::optional<bool>>();
     auto read = [](shared_context context, std::shared_ptr<std::optional<bool>> done) -> runtime::task<> {
       auto reader = make_proposer(context, reader_name);
-      auto deadline = reader.port().runtime().now() + read_timeout;
+      auto deadline = reader.endpoint().runtime().now() + read_timeout;
       bool all = co_await read_all(context, reader_name, reader, deadline);
       *done = all;
     };
--- a/tests/model/writer.cc
+++ b/tests/model/writer.cc
@@ -14,9 +14,7 @@
 
 int number_in(const std::optional<std::string>& value) { return value ? std::stoi(*value) : no_value; }
 
-bool has_value(const reg::change_result& result) {
-  return result.end == reg::change_end::settled || result.end == reg::change_end::declined;
-}
+bool has_value(const consensus::change_result& result) { return result.known(); }
 
 // A set is noted as uncertain before it begins, so that it stands in the history if its client dies.
 std::size_t note_set(client_context& context, const std::string& key, const std::string& client,
@@ -37,7 +35,7 @@
 // The end of a compare-and-set: a value that isn't its own is that of a read. If it proposed its value
 // before, that may have been chosen and replaced since.
 void note_end(client_context& context, const std::string& key, std::size_t position, bool proposed,
-              const reg::change_result& result) {
+              const consensus::change_result& result) {
   auto& noted = context.histories[key][position];
   if (has_value(result) && number_in(result.value) == noted.value) {
     noted.kind = operation_kind::set;
@@ -45,31 +43,31 @@
     return;
   }
   if (has_value(result)) note_read(context, key, noted.client, number_in(result.value), noted.begin);
-  bool never_sent = !proposed || result.end == reg::change_end::unreachable;
+  bool never_sent = !proposed || result.status == consensus::change_status::unreachable;
   // Whoever reads its value all the same has read what nobody wrote.
   if (never_sent) context.histories[key][position].kind = operation_kind::without_effect;
 }
 
 runtime::task<int> compare_and_set(shared_context context, std::string key, std::string name,
-                                   reg::proposer group, int expected) {
+                                   consensus::proposer group, int expected) {
   auto position = note_set(*context, key, name, expected);
   int value = context->histories[key][position].value;
   auto proposed = std::make_shared<bool>(false);
-  reg::mutator next = [expected, value, proposed](const std::optional<std::string>& current) {
+  consensus::mutator next = [expected, value, proposed](const std::optional<std::string>& current) {
     std::optional<std::string> wanted;
     if (number_in(current) != expected) return wanted;
     *proposed = true;
     wanted = std::to_string(value);
     return wanted;
   };
-  auto deadline = group.port().runtime().now() + operation_time;
+  auto deadline = group.endpoint().runtime().now() + operation_time;
   auto result = co_await group.change(key, next, deadline);
   note_end(*context, key, position, *proposed, result);
   co_return has_value(result) ? number_in(result.value) : expected;
 }
 
 runtime::task<std::optional<int>> read_key(shared_context context, std::string key, std::string name,
-                                           reg::proposer group, runtime::microseconds deadline) {
+                                           consensus::proposer group, runtime::microseconds deadline) {
   auto begin = context->world->now();
   auto result = co_await group.read(key, deadline);
   if (!has_value(result)) co_return std::nullopt;
@@ -81,9 +79,9 @@
 // The values that the tasks of one writer have seen last.
 using known_values = std::shared_ptr<std::map<std::string, int>>;
 
-runtime::task<> write_forever(shared_context context, std::string name, reg::proposer group,
+runtime::task<> write_forever(shared_context context, std::string name, consensus::proposer group,
                               known_values known) {
-  auto runtime = group.port().runtime();
+  auto runtime = group.endpoint().runtime();
   while (context->writing) {
     std::string key = key_name(1 + static_cast<int>(runtime.draw(static_cast<std::uint64_t>(context->keys))));
     if (runtime.draw(10) < reads_of_ten) {
@@ -100,13 +98,13 @@
 
 }  // namespace
 
-void start_writer(shared_context context, std::string name, reg::proposer group) {
+void start_writer(shared_context context, std::string name, consensus::proposer group) {
   auto known = std::make_shared<std::map<std::string, int>>();
   for (int number = 0; number < tasks_of_a_writer; ++number)
-    group.port().runtime().spawn(write_forever(context, name, group, known));
+    group.endpoint().runtime().spawn(write_forever(context, name, group, known));
 }
 
-runtime::task<bool> read_all(shared_context context, std::string name, reg::proposer group,
+runtime::task<bool> read_all(shared_context context, std::string name, consensus::proposer group,
                              runtime::microseconds deadline) {
   for (int number = 1; number <= context->keys; ++number) {
     auto value = co_await read_key(context, key_name(number), name, group, deadline);
--- a/tests/platform_site.cc
+++ b/tests/platform_site.cc
@@ -65,8 +65,8 @@
   where_.boot(name);
   auto read = platform::read_settings(settings_of(place, role), role);
   auto& settings = std::get<settings::settings>(read);
-  logging::journal journal(settings.name, [](auto&, auto&) {});
-  auto node = std::make_shared<Node>(where_.runtime_of(name), settings, journal, more...);
+  logging::logger logger(settings.name, [](auto&, auto&) {});
+  auto node = std::make_shared<Node>(where_.runtime_of(name), settings, logger, more...);
   where_.find(name).node = node;
   where_.runtime_of(name).spawn([](std::shared_ptr<Node> begun, site* self, std::string own) -> task<> {
     auto fault = co_await begun->start();
@@ -197,8 +197,8 @@
         asked.path = "/-/ready";
         auto result =
             co_await runtime::http_fetch(runtime, self->places_.at(name).ip + ":8141", asked, second);
-        auto* receipt = std::get_if<runtime::http_receipt>(&result);
-        bool ready = receipt && receipt->status == 200;
+        auto* response = std::get_if<runtime::http_response>(&result);
+        bool ready = response && response->status == 200;
         self->missed_[name] = ready ? 0 : self->missed_[name] + 1;
       }(this, runtime, name));
     co_await runtime.sleep(second);
--- a/tests/platform_site_engines.cc
+++ b/tests/platform_site_engines.cc
@@ -120,12 +120,12 @@
                           std::shared_ptr<runtime::http_writer> out) {
   auto now = where_.now();
   if (incoming.path == "/health" || incoming.path == "/-/report") {
-    runtime::http_receipt receipt{life->draining ? 503 : 200, {{"X-Instance", life->id}}, ""};
+    runtime::http_response response{life->draining ? 503 : 200, {{"X-Instance", life->id}}, ""};
     if (now < life->cold_until)
-      receipt.headers["X-Cold-Ms"] = std::to_string((life->cold_until - now) / millisecond);
+      response.headers["X-Cold-Ms"] = std::to_string((life->cold_until - now) / millisecond);
     if (incoming.path == "/-/report")
-      receipt.body = json{{"active", life->running}, {"backlog", life->queue.size()}}.dump();
-    out->reply(receipt);
+      response.body = json{{"active", life->running}, {"backlog", life->queue.size()}}.dump();
+    out->reply(response);
     co_return;
   }
   std::map<std::string, std::string> turned_away{{"X-Not-Executed", "1"},
--- a/tests/platform_site_operator.cc
+++ b/tests/platform_site_operator.cc
@@ -76,9 +76,9 @@
     if (!base.empty()) request.headers["X-Base-Version"] = base;
     auto result =
         co_await runtime::http_fetch(runtime, control(cores[where_.draw(cores.size())]), request, second);
-    auto* receipt = std::get_if<runtime::http_receipt>(&result);
-    int status = receipt ? receipt->status : 0;
-    if (receipt && read) *read = receipt->body;
+    auto* response = std::get_if<runtime::http_response>(&result);
+    int status = response ? response->status : 0;
+    if (response && read) *read = response->body;
     static const std::set<int> final{400, 409, 412, 413, 422};
     bool other = status >= 400 && status < 500 && status != 408 && status != 429;
     if (status / 100 == 2 || final.count(status) || (other && ++refused == 3)) co_return status;
--- a/tests/program_test.cc
+++ b/tests/program_test.cc
@@ -19,7 +19,7 @@
 // Tells its parent when it has started, and leaves at once.
 struct idle_node {
   int started;
-  idle_node(runtime::handle, settings::settings, logging::journal, int pipe) : started(pipe) {}
+  idle_node(runtime::handle, settings::settings, logging::logger, int pipe) : started(pipe) {}
   runtime::task<std::optional<std::string>> start() {
     char byte = 1;
     if (write(started, &byte, 1) != 1) co_return "the parent is gone";
--- a/tests/programs_faults_test.cc
+++ b/tests/programs_faults_test.cc
@@ -2,7 +2,7 @@
 #include <catch2/catch.hpp>
 
 #include "ledger/program_head.h"
-#include "store_group.h"
+#include "replica_group_fixture.h"
 
 using namespace herontally;
 using ledger::chain_result;
@@ -70,12 +70,13 @@
   }
 }
 
-void lay_view(group& site, reg::proposer writer) {
-  reg::view first = writer.current();
+void lay_view(group& site, consensus::proposer writer) {
+  consensus::view first = writer.current_view();
   auto lay = [first](const std::optional<std::string>&) {
-    return std::optional<std::string>(reg::view_text(first));
+    return std::optional<std::string>(consensus::to_text(first));
   };
-  site.run("w", writer.change(reg::view_key_of("store"), lay, site.deadline("w", 3 * second)));
+  site.run("w",
+           writer.change(reconfiguration::view_register_key("store"), lay, site.deadline("w", 3 * second)));
 }
 
 ledger::turn_record record_of(const std::string& id, const std::string& previous) {
@@ -94,7 +95,7 @@
     known->budget = 300;
     for (auto* node : {"wa", "wb"}) {
       auto writer = site.writer(node);
-      writer.learn(first.current());
+      writer.learn(first.current_view());
       ledger::programs book(writer);
       for (int task = 0; task < 4; ++task)
         site.world.runtime_of(node).spawn(
@@ -135,7 +136,7 @@
   for (auto& [id, previous] : std::vector<std::pair<std::string, std::string>>{{"a", ""}, {"b", "a"}})
     REQUIRE(site.run("w", book.keep(record_of(id, previous), site.deadline("w", 2 * second))));
   auto other = site.writer("v");
-  other.learn(writer.current());
+  other.learn(writer.current_view());
   auto look = [&](const std::string& last) {
     return site.run("v", ledger::programs(other).chain(last, site.deadline("v", second)));
   };
@@ -168,7 +169,7 @@
     auto kept = std::make_shared<std::vector<std::string>>();
     auto going = std::make_shared<bool>(true);
     auto other = site.writer("v");
-    other.learn(writer.current());
+    other.learn(writer.current_view());
     auto keep_on = [](ledger::programs book, runtime::handle runtime, std::string name,
                       std::shared_ptr<std::vector<std::string>> kept,
                       std::shared_ptr<bool> going) -> runtime::task<> {
@@ -185,25 +186,27 @@
     site.world.run_for(300 * millisecond);
     std::string lost = "s" + std::to_string(1 + seed % 3);
     std::string leaving;
-    for (auto& place : writer.current().voters)
+    for (auto& place : writer.current_view().voters)
       if (place.node == lost) leaving = place.id;
     if (seed % 2) site.world.kill(lost, hsim::disk_loss::all, true);
     // A voter that doesn't hear of the move from its maker is the one that a stale word could come from.
     std::string deaf = lost == "s3" ? "s2" : "s3";
     if (seed % 6 == 0) site.world.cut("w", deaf);
-    reg::replacement wanted{leaving, site.places({"s4"})[0]};
-    auto moved = site.run("w", reg::replace_voter(writer, writer, wanted, site.deadline("w", 40 * second)));
+    reconfiguration::replacement wanted{leaving, site.places({"s4"})[0]};
+    auto moved = site.run(
+        "w", reconfiguration::replace_voter(writer, writer, wanted, site.deadline("w", 40 * second)));
     site.world.heal_all();
     site.world.run_for(300 * millisecond);
     *going = false;
     site.world.run_for(3 * second);
-    if (!std::holds_alternative<reg::view>(moved)) {
-      auto finished = site.run("w", reg::finish_move(writer, writer, site.deadline("w", 40 * second)));
+    if (!std::holds_alternative<consensus::view>(moved)) {
+      auto finished =
+          site.run("w", reconfiguration::finish_move(writer, writer, site.deadline("w", 40 * second)));
       REQUIRE(finished);
     }
     site.world.kill(lost == "s1" ? "s2" : "s1", hsim::disk_loss::all, true);
     auto reader = site.writer("r");
-    reader.learn(writer.current());
+    reader.learn(writer.current_view());
     ledger::programs cold(reader);
     for (auto& id : *kept) {
       INFO("turn " << id);
@@ -219,19 +222,19 @@
 TEST_CASE("a put of another view is refused by a voter") {
   group site(33);
   auto writer = site.begin();
-  auto place = writer.current().voters[0];
+  auto place = writer.current_view().voters[0];
   auto put = [&](std::int64_t number) {
-    wire::content_put question{place.id, "turn/x", "{}\n", false, number};
-    auto answer = site.run("w", writer.port().ask(place.address, question, second));
-    return std::get<wire::content_put_receipt>(answer).verdict;
+    rpc::put_content_request request{place.id, "turn/x", "{}\n", false, number};
+    auto answer = site.run("w", writer.endpoint().call(place.address, request, second));
+    return std::get<rpc::put_content_reply>(answer).status;
   };
-  REQUIRE(put(writer.current().number + 1) == "view");
-  REQUIRE(put(writer.current().number) == "yes");
+  REQUIRE(put(writer.current_view().number + 1) == rpc::reply_status::view_mismatch);
+  REQUIRE(put(writer.current_view().number) == rpc::reply_status::ok);
   auto list = [&](std::int64_t number) {
-    wire::keys_ask question{place.id, "", 10, -1, number};
-    auto answer = site.run("w", writer.port().ask(place.address, question, second));
-    return std::get<wire::keys_receipt>(answer).verdict;
+    rpc::list_records_request request{place.id, "", 10, -1, number};
+    auto answer = site.run("w", writer.endpoint().call(place.address, request, second));
+    return std::get<rpc::list_records_reply>(answer).status;
   };
-  REQUIRE(list(writer.current().number + 1) == "view");
-  REQUIRE(list(writer.current().number) == "yes");
+  REQUIRE(list(writer.current_view().number + 1) == rpc::reply_status::view_mismatch);
+  REQUIRE(list(writer.current_view().number) == rpc::reply_status::ok);
 }
--- a/tests/programs_store_test.cc
+++ b/tests/programs_store_test.cc
@@ -3,7 +3,7 @@
 
 #include "hstore/expiry.h"
 #include "ledger/programs.h"
-#include "store_group.h"
+#include "replica_group_fixture.h"
 
 using namespace herontally;
 using ledger::reserve_end;
@@ -25,7 +25,7 @@
   ledger::programs book(writer);
   for (auto& name : {"s1", "s2", "s3"})
     site.world.runtime_of(name).spawn(hstore::expire_programs_forever(
-        *site.voters[name], site.world.runtime_of(name), logging::journal(name, [](auto&, auto&) {})));
+        *site.voters[name], site.world.runtime_of(name), logging::logger(name, [](auto&, auto&) {})));
   std::int64_t wall = site.world.runtime_of("w").wall();
   auto early = record_of("early", ""), late = record_of("late", "");
   early.kept_until = wall + 60 * second;
@@ -44,7 +44,7 @@
   auto everywhere = [&](const std::string& record) {
     int holders = 0;
     for (auto& name : {"s1", "s2", "s3"})
-      holders += static_cast<int>(site.voters[name]->keys_with_prefix(record).size());
+      holders += static_cast<int>(site.voters[name]->records().records_with_prefix(record).size());
     return holders;
   };
   site.world.run_for(50 * second);
@@ -95,7 +95,7 @@
   REQUIRE(site.world.run_until([&] { return *turns == 32 * 40; }, 60 * second));
   double seconds = static_cast<double>(site.world.now() - begin) / static_cast<double>(second);
   double syncs = static_cast<double>(site.world.find("s1").disk.syncs - syncs_before);
-  double rounds = writer.port().journal().value("herontally_register_rounds_total");
+  double rounds = writer.endpoint().logger().value("herontally_register_rounds_total");
   INFO(*turns / seconds << " turns/s, " << syncs / *turns << " syncs a turn, " << rounds / *turns
                         << " rounds a turn");
   REQUIRE(syncs / *turns < 1);
--- a/tests/programs_test.cc
+++ b/tests/programs_test.cc
@@ -2,7 +2,7 @@
 #include <catch2/catch.hpp>
 
 #include "ledger/program_head.h"
-#include "store_group.h"
+#include "replica_group_fixture.h"
 
 using namespace herontally;
 using ledger::chain_result;
@@ -105,7 +105,7 @@
   REQUIRE(reserve(site, "w", book, "a", 10, 10) == reserve_end::granted);
   REQUIRE(keep(site, "w", book, "a", ""));
   auto other = site.writer("v");
-  other.learn(writer.current());
+  other.learn(writer.current_view());
   ledger::programs cold(other);
   site.world.kill("s1", hsim::disk_loss::none);
   site.world.kill("s2", hsim::disk_loss::none);
@@ -149,6 +149,6 @@
     REQUIRE(branch.turns.back().output == "out " + large);
   }
   // What was served here needs no store.
-  REQUIRE(writer.port().journal().value("herontally_chain_fetches_total") == 0);
+  REQUIRE(writer.endpoint().logger().value("herontally_chain_fetches_total") == 0);
   REQUIRE(chain(site, "v", cold, "never").end == chain_result::what::missing);
 }
--- a/tests/register_damage_test.cc
+++ b/tests/replica_damage_test.cc
@@ -1,7 +1,7 @@
 // Contents that a voter's disk has damaged come back from the others.
 #include <catch2/catch.hpp>
 
-#include "store_group.h"
+#include "replica_group_fixture.h"
 
 using namespace herontally;
 using runtime::second;
@@ -74,11 +74,12 @@
   for (std::uint64_t seed = 43; seed < 49; ++seed) {
     group site(seed, 4);
     auto writer = site.begin();
-    reg::view first = writer.current();
+    consensus::view first = writer.current_view();
     auto lay = [first](const std::optional<std::string>&) {
-      return std::optional<std::string>(reg::view_text(first));
+      return std::optional<std::string>(consensus::to_text(first));
     };
-    site.run("w", writer.change(reg::view_key_of("store"), lay, site.deadline("w", 3 * second)));
+    site.run("w",
+             writer.change(reconfiguration::view_register_key("store"), lay, site.deadline("w", 3 * second)));
     for (int number = 0; number < 6; ++number)
       REQUIRE(site.run("w", writer.put_content("turn/" + std::to_string(number), body_of(number),
                                                site.deadline("w", second), false)));
@@ -86,9 +87,10 @@
     for (auto& name : {"s1", "s2"}) REQUIRE(damage(site.world, name, body_of(2)) > 0);
     // The one that leaves is the only one that can read it.
     auto wanted = site.places({"s1", "s2", "s4"});
-    auto begun = site.run("w", reg::begin_move(writer, writer, wanted, 0, site.deadline("w", 5 * second)));
-    REQUIRE(std::holds_alternative<reg::view>(begun));
-    REQUIRE(site.run("w", reg::finish_move(writer, writer, site.deadline("w", 5 * second))));
+    auto begun =
+        site.run("w", reconfiguration::begin_move(writer, writer, wanted, 0, site.deadline("w", 5 * second)));
+    REQUIRE(std::holds_alternative<consensus::view>(begun));
+    REQUIRE(site.run("w", reconfiguration::finish_move(writer, writer, site.deadline("w", 5 * second))));
     REQUIRE(site.voters["s4"]->content("turn/2") == body_of(2));
   }
 }
--- a/tests/store_group.h
+++ b/tests/replica_group_fixture.h
@@ -4,8 +4,8 @@
 
 #include "hsim/world.h"
 #include "hstore/expiry.h"
-#include "register/change_view.h"
-#include "register/voter.h"
+#include "reconfiguration/view_install.h"
+#include "replication/voter.h"
 
 namespace herontally::tests {
 
@@ -14,7 +14,7 @@
 // Three storage machines (and spares), and writers that are machines of their own.
 struct group {
   hsim::world world;
-  std::map<std::string, std::shared_ptr<reg::voter>> voters;
+  std::map<std::string, std::shared_ptr<replication::voter>> voters;
   std::vector<std::string> names;
   std::int64_t limit_bytes = 256 << 20;
   explicit group(std::uint64_t seed, int count = 3, std::int64_t limit = 256 << 20)
@@ -26,34 +26,35 @@
     world.machine(name, "z");
     world.boot(name);
     auto runtime = world.runtime_of(name);
-    wire::port port(runtime, name, logging::journal(name, [](auto&, auto&) {}));
-    port.listen(address(name));
-    reg::voter_options choice;
+    rpc::endpoint endpoint(runtime, name, logging::logger(name, [](auto&, auto&) {}));
+    endpoint.listen(address(name));
+    replication::voter_options choice;
     choice.group = "store";
-    choice.buckets = 2;
+    choice.bucket_count = 2;
     choice.limit_bytes = limit_bytes;
     choice.attribute = hstore::kept_until_attribute;
-    auto voter = std::make_shared<reg::voter>(port, choice);
+    auto voter = std::make_shared<replication::voter>(endpoint, choice);
     voters[name] = voter;
-    runtime.spawn(
-        [](std::shared_ptr<reg::voter> opened) -> runtime::task<> { co_await opened->open(); }(voter));
-    runtime.spawn([](std::shared_ptr<reg::voter> mended) -> runtime::task<> {
+    runtime.spawn([](std::shared_ptr<replication::voter> opened) -> runtime::task<> {
+      co_await opened->open();
+    }(voter));
+    runtime.spawn([](std::shared_ptr<replication::voter> mended) -> runtime::task<> {
       co_await mended->repair_forever();
     }(voter));
     world.run_for(10 * runtime::millisecond);
   }
-  reg::proposer writer(const std::string& name) {
+  consensus::proposer writer(const std::string& name) {
     world.machine(name, "z");
     if (!world.find(name).up) world.boot(name);
-    wire::port port(world.runtime_of(name), name, logging::journal(name, [](auto&, auto&) {}));
-    reg::proposer made(port, "store");
-    made.seeds([] {
+    rpc::endpoint endpoint(world.runtime_of(name), name, logging::logger(name, [](auto&, auto&) {}));
+    consensus::proposer made(endpoint, "store");
+    made.set_seeds([] {
       return std::vector<std::string>{address("s1"), address("s2"), address("s3"), address("s4")};
     });
     return made;
   }
-  std::vector<reg::voter_place> places(std::vector<std::string> which) {
-    std::vector<reg::voter_place> list;
+  std::vector<consensus::voter_info> places(std::vector<std::string> which) {
+    std::vector<consensus::voter_info> list;
     for (auto& name : which) list.push_back({voters[name]->id(), address(name), name, "z"});
     return list;
   }
@@ -70,12 +71,12 @@
   runtime::microseconds deadline(const std::string& machine, runtime::microseconds span) {
     return world.runtime_of(machine).now() + span;
   }
-  reg::proposer begin() {
+  consensus::proposer begin() {
     auto first = writer("w");
-    auto begun = run(
-        "w", reg::begin_group(first.port(), "store", places({"s1", "s2", "s3"}), deadline("w", 5 * second)));
-    REQUIRE(std::holds_alternative<reg::view>(begun));
-    first.learn(std::get<reg::view>(begun));
+    auto begun = run("w", reconfiguration::begin_group(first.endpoint(), "store", places({"s1", "s2", "s3"}),
+                                                       deadline("w", 5 * second)));
+    REQUIRE(std::holds_alternative<consensus::view>(begun));
+    first.learn(std::get<consensus::view>(begun));
     return first;
   }
 };
--- a/tests/wire_test.cc
+++ b/tests/rpc_version_test.cc
@@ -1,40 +1,42 @@
 // The inner protocol between versions, and calendars on a whole simulated site.
-#include "wire/wire.h"
-
 #include <catch2/catch.hpp>
 
 #include "hsim/site.h"
+#include "rpc/endpoint.h"
 
 using namespace herontally;
 using runtime::second;
 
 namespace {
 
+constexpr std::int64_t payload = 4711;
+
 // Asks a node that speaks one version from a node that speaks another.
-std::variant<std::string, wire::error> ask_across(int asker, int answerer, double* dropped) {
+std::variant<std::int64_t, rpc::error> ask_across(int asker, int answerer, double* dropped) {
   hsim::world world(1);
   for (auto* name : {"a", "b"}) {
     world.machine(name, "z");
     world.boot(name);
   }
-  logging::journal lines("b", [](auto&, auto&) {});
-  wire::port left(world.runtime_of("a"), "a", logging::journal("a", [](auto&, auto&) {}));
-  wire::port right(world.runtime_of("b"), "b", lines);
-  left.speak(asker);
-  right.speak(answerer);
+  logging::logger lines("b", [](auto&, auto&) {});
+  rpc::endpoint left(world.runtime_of("a"), "a", logging::logger("a", [](auto&, auto&) {}));
+  rpc::endpoint right(world.runtime_of("b"), "b", lines);
+  left.set_version(asker);
+  right.set_version(answerer);
   right.listen("10.0.0.2:7000");
-  right.on<wire::in_force>([](wire::in_force word) -> runtime::task<wire::in_force_receipt> {
-    co_return wire::in_force_receipt{word.node};
-  });
-  std::optional<std::variant<std::string, wire::error>> result;
-  auto ask = [](wire::port port,
-                std::optional<std::variant<std::string, wire::error>>* out) -> runtime::task<> {
-    wire::in_force word{"hello", 1};
-    auto answer = co_await port.ask("10.0.0.2:7000", std::move(word), second);
-    if (auto* receipt = std::get_if<wire::in_force_receipt>(&answer))
-      *out = receipt->verdict;
+  right.serve<rpc::config_committed_request>(
+      [](rpc::config_committed_request word) -> runtime::task<rpc::config_committed_reply> {
+        co_return rpc::config_committed_reply{word.revision};
+      });
+  std::optional<std::variant<std::int64_t, rpc::error>> result;
+  auto ask = [](rpc::endpoint endpoint,
+                std::optional<std::variant<std::int64_t, rpc::error>>* out) -> runtime::task<> {
+    rpc::config_committed_request word{payload, ""};
+    auto answer = co_await endpoint.call("10.0.0.2:7000", std::move(word), second);
+    if (auto* reply = std::get_if<rpc::config_committed_reply>(&answer))
+      *out = reply->revision;
     else
-      *out = std::get<wire::error>(answer);
+      *out = std::get<rpc::error>(answer);
   };
   world.runtime_of("a").spawn(ask(left, &result));
   REQUIRE(world.run_until([&] { return result.has_value(); }, 3 * second));
@@ -51,10 +53,10 @@
       auto result = ask_across(asker, answerer, &dropped);
       INFO(asker << " asks " << answerer);
       if (std::abs(asker - answerer) <= 1) {
-        REQUIRE(std::get<std::string>(result) == "hello");
+        REQUIRE(std::get<std::int64_t>(result) == payload);
         REQUIRE(dropped == 0);
       } else {
-        REQUIRE(std::get<wire::error>(result) == wire::error::refused);
+        REQUIRE(std::get<rpc::error>(result) == rpc::error::refused);
         REQUIRE(dropped == 1);
       }
     }
--- a/tests/voter_pace_test.cc
+++ b/tests/send_window_test.cc
@@ -1,5 +1,5 @@
 // A voter that answers late isn't flooded with contents, and gets them from the others afterwards.
-#include "store_group.h"
+#include "replica_group_fixture.h"
 
 using namespace herontally;
 using namespace herontally::tests;
--- a/tests/site_test.cc
+++ b/tests/site_test.cc
@@ -81,7 +81,7 @@
   REQUIRE(site.call("k1").status == 200);
   auto again = site.call("k1");
   REQUIRE(again.status == 200);
-  REQUIRE(again.receipt == "stored");
+  REQUIRE(again.response == "stored");
   site.world.run_for(25 * second);
   auto gone = site.call("k1");
   REQUIRE(gone.status == 410);
--- a/tests/disk_test.cc
+++ b/tests/storage_crash_test.cc
@@ -1,8 +1,8 @@
 // The bucket on disk against an oracle, with a crash at every write and sync, torn and lost writes.
 #include <catch2/catch.hpp>
 
-#include "disk/store.h"
 #include "hsim/world.h"
+#include "storage/log_store.h"
 
 using namespace herontally;
 
@@ -10,18 +10,18 @@
 
 using records = std::map<std::string, std::string>;
 
-disk::options small() {
-  disk::options options;
+storage::log_store_options small() {
+  storage::log_store_options options;
   options.prefix = "b";
-  options.log_bytes_before_fold = 400;
+  options.log_bytes_before_compaction = 400;
   // Some of the values are in memory, the others on disk alone.
   options.in_memory = [](const std::string&, std::size_t bytes) { return bytes < 25; };
   return options;
 }
 
-records all_of(const disk::store& store) {
+records all_of(const storage::log_store& store) {
   std::vector<std::string> keys;
-  store.list_from("", [&keys](const disk::listed_record& record) {
+  store.list_from("", [&keys](const storage::listed_record& record) {
     keys.push_back(record.key);
     return true;
   });
@@ -43,8 +43,8 @@
 
 runtime::task<> write_on(runtime::handle runtime, std::shared_ptr<writer_state> state, std::uint64_t seed,
                          int batches) {
-  disk::store store(runtime, small(), logging::journal("t"));
-  state->corrupt = store.recover() == disk::error::corrupt;
+  storage::log_store store(runtime, small(), logging::logger("t"));
+  state->corrupt = store.recover() == storage::error::corrupt;
   if (state->corrupt) co_return;
   // What was promised must be there; what was only begun may be.
   auto found = all_of(store);
@@ -53,7 +53,7 @@
   state->lasting = state->pending = found;
   std::mt19937_64 random(seed);
   for (int batch = 0; batch < batches; ++batch) {
-    std::vector<disk::change> changes;
+    std::vector<storage::change> changes;
     auto next = state->lasting;
     for (std::size_t each = 0; each < 1 + random() % 3; ++each) {
       std::string key = "k" + std::to_string(random() % 12);
--- a/tests/disk_memory_test.cc
+++ b/tests/storage_memory_test.cc
@@ -4,9 +4,9 @@
 #include <catch2/catch.hpp>
 #include <filesystem>
 
-#include "disk/store.h"
 #include "heap_meter.h"
 #include "runtime/real.h"
+#include "storage/log_store.h"
 
 using namespace herontally;
 
@@ -28,11 +28,11 @@
   ~temporary_folder() { std::filesystem::remove_all(path); }
 };
 
-disk::options day_store() {
-  disk::options choice;
+storage::log_store_options day_store() {
+  storage::log_store_options choice;
   choice.prefix = "b";
   choice.limit_bytes = 350 << 20;
-  choice.log_bytes_before_fold = 4 << 20;
+  choice.log_bytes_before_compaction = 4 << 20;
   choice.in_memory = [](const std::string& key, std::size_t) { return key[0] != 'c'; };
   return choice;
 }
@@ -42,9 +42,9 @@
   return std::string(value_bytes, static_cast<char>('a' + number % 26)) + std::to_string(number);
 }
 
-runtime::task<> write_day(runtime::real* process, disk::store* store, int* written) {
+runtime::task<> write_day(runtime::real* process, storage::log_store* store, int* written) {
   for (int first = 0; first < record_total; first += records_in_batch) {
-    std::vector<disk::change> changes;
+    std::vector<storage::change> changes;
     for (int number = first; number < first + records_in_batch; ++number)
       changes.push_back({key_of(number), value_of(number)});
     auto failed = co_await store->commit(std::move(changes), true);
@@ -58,19 +58,19 @@
 
 TEST_CASE("the values of a full day stay on disk, and a fold and a start need little memory") {
   temporary_folder folder;
-  logging::journal journal("m", [](auto&, auto&) {});
+  logging::logger logger("m", [](auto&, auto&) {});
   constexpr std::size_t most_live = record_total * most_for_record;
   {
     runtime::real process(folder.path);
     auto before = tests::heap_now().live;
-    disk::store store(process.runtime(), day_store(), journal);
+    storage::log_store store(process.runtime(), day_store(), logger);
     REQUIRE_FALSE(store.recover());
     int written = 0;
     tests::reset_heap_peak();
     process.runtime().spawn(write_day(&process, &store, &written));
     process.run();
     REQUIRE(written == record_total);
-    REQUIRE(journal.value("herontally_disk_folds_total") > 5);
+    REQUIRE(logger.value("herontally_disk_folds_total") > 5);
     auto use = tests::heap_now();
     INFO("live " << use.live - before << ", peak " << use.peak - before);
     REQUIRE(use.live - before < most_live);
@@ -79,7 +79,7 @@
   runtime::real process(folder.path);
   auto before = tests::heap_now().live;
   tests::reset_heap_peak();
-  disk::store store(process.runtime(), day_store(), journal);
+  storage::log_store store(process.runtime(), day_store(), logger);
   REQUIRE_FALSE(store.recover());
   auto use = tests::heap_now();
   INFO("live " << use.live - before << ", peak " << use.peak - before);
--- a/tests/disk_recovery_test.cc
+++ b/tests/storage_recovery_test.cc
@@ -1,9 +1,9 @@
 // What a store finds again after torn logs, crashes inside a fold, and damaged values.
-#include "store_setting.h"
+#include "log_store_fixture.h"
 
 using namespace herontally;
+using tests::log_store_fixture;
 using tests::records;
-using tests::store_setting;
 using tests::sums_of;
 
 namespace {
@@ -13,11 +13,11 @@
 }
 
 // A few batches of small and large values and removals; the records after each batch, the first one for none.
-std::vector<records> write_batches(store_setting& setting, std::vector<std::size_t>& log_sizes) {
+std::vector<records> write_batches(log_store_fixture& setting, std::vector<std::size_t>& log_sizes) {
   std::vector<records> after{records{}};
   for (int number = 0; number < 6; ++number) {
     auto next = after.back();
-    std::vector<disk::change> changes;
+    std::vector<storage::change> changes;
     for (auto bytes : {5u, 30u}) {
       std::string key = (bytes == 5 ? "k/" : "c/") + std::to_string(number);
       next[key] = value_of(number, bytes);
@@ -35,8 +35,8 @@
   return after;
 }
 
-std::vector<disk::change> large_records(int from, int count, std::size_t bytes, records& content) {
-  std::vector<disk::change> changes;
+std::vector<storage::change> large_records(int from, int count, std::size_t bytes, records& content) {
+  std::vector<storage::change> changes;
   for (int number = from; number < from + count; ++number) {
     std::string key = "c/" + std::to_string(number);
     content[key] = value_of(number, bytes);
@@ -48,7 +48,7 @@
 }  // namespace
 
 TEST_CASE("a log that is torn at any byte gives back the whole batches before") {
-  store_setting setting(1);
+  log_store_fixture setting(1);
   REQUIRE_FALSE(setting.start());
   std::vector<std::size_t> log_sizes;
   auto after = write_batches(setting, log_sizes);
@@ -62,12 +62,12 @@
     std::size_t batches = 0;
     while (batches < log_sizes.size() && log_sizes[batches] <= cut) ++batches;
     REQUIRE(setting.all() == after[batches]);
-    REQUIRE(setting.store->sums() == sums_of(after[batches]));
+    REQUIRE(setting.store->checksums() == sums_of(after[batches]));
   }
 }
 
 TEST_CASE("a last batch with any byte changed is a torn tail, an earlier one a loss") {
-  store_setting setting(2);
+  log_store_fixture setting(2);
   REQUIRE_FALSE(setting.start());
   std::vector<std::size_t> log_sizes;
   auto after = write_batches(setting, log_sizes);
@@ -82,7 +82,7 @@
     if (in_last)
       REQUIRE_FALSE(fault);
     else
-      REQUIRE(fault == disk::error::corrupt);
+      REQUIRE(fault == storage::error::corrupt);
     if (in_last) REQUIRE(setting.all() == after[after.size() - 2]);
   }
 }
@@ -92,8 +92,8 @@
   int crashes = 0;
   for (int operation = 1; operation <= 20; ++operation) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-      store_setting setting(seed);
-      setting.choice.log_bytes_before_fold = 350000;
+      log_store_fixture setting(seed);
+      setting.choice.log_bytes_before_compaction = 350000;
       REQUIRE_FALSE(setting.start());
       records content;
       for (int batch = 0; batch < 4; ++batch)
@@ -120,7 +120,7 @@
 }
 
 TEST_CASE("a value that is damaged on disk counts as absent until it is written again") {
-  store_setting setting(3);
+  log_store_fixture setting(3);
   REQUIRE_FALSE(setting.start());
   records content;
   setting.must_commit(large_records(0, 4, 100, content));
@@ -129,23 +129,23 @@
   file->current[file->current.find(content["c/2"]) + 50] ^= 0x01;
   REQUIRE_FALSE(setting.store->read("c/2"));
   REQUIRE_FALSE(setting.store->contains("c/2"));
-  REQUIRE(setting.journal.value("herontally_disk_damaged_records_total") == 1);
+  REQUIRE(setting.logger.value("herontally_disk_damaged_records_total") == 1);
   auto without = content;
   without.erase("c/2");
   REQUIRE(setting.all() == without);
   REQUIRE(setting.store->record_count() == without.size());
-  REQUIRE(setting.store->sums() == sums_of(without));
+  REQUIRE(setting.store->checksums() == sums_of(without));
   setting.must_commit({{"c/2", content["c/2"]}});
   REQUIRE(setting.all() == content);
-  REQUIRE(setting.store->sums() == sums_of(content));
+  REQUIRE(setting.store->checksums() == sums_of(content));
   // The damaged place was left behind with that commit.
   REQUIRE_FALSE(setting.start());
   REQUIRE(setting.all() == content);
 }
 
 TEST_CASE("a fold leaves out a value that it finds damaged, and its slot is whole") {
-  store_setting setting(4);
-  setting.choice.log_bytes_before_fold = 200000;
+  log_store_fixture setting(4);
+  setting.choice.log_bytes_before_compaction = 200000;
   REQUIRE_FALSE(setting.start());
   records content;
   setting.must_commit(large_records(0, 30, 10000, content));
@@ -157,12 +157,12 @@
   REQUIRE(setting.all() == content);
   REQUIRE_FALSE(setting.start());
   REQUIRE(setting.all() == content);
-  REQUIRE(setting.store->sums() == sums_of(content));
+  REQUIRE(setting.store->checksums() == sums_of(content));
 }
 
 TEST_CASE("a disk that fails for a time damages nothing") {
-  store_setting setting(5);
-  setting.choice.log_bytes_before_fold = 1000;
+  log_store_fixture setting(5);
+  setting.choice.log_bytes_before_compaction = 1000;
   REQUIRE_FALSE(setting.start());
   records content;
   setting.must_commit(large_records(0, 30, 100, content));
@@ -173,7 +173,7 @@
   auto more = large_records(30, 1, 100, next);
   auto end = setting.commit(more);
   REQUIRE(end);
-  REQUIRE(*end == disk::error::failed);
+  REQUIRE(*end == storage::error::failed);
   setting.disk().failing = false;
   REQUIRE(setting.all() == content);
   setting.must_commit(more);
@@ -183,12 +183,12 @@
 }
 
 TEST_CASE("a disk that can't be read at the start is no corrupt one") {
-  store_setting setting(6);
+  log_store_fixture setting(6);
   REQUIRE_FALSE(setting.start());
   records content;
   setting.must_commit(large_records(0, 3, 100, content));
   setting.disk().failing = true;
-  REQUIRE(setting.start() == disk::error::failed);
+  REQUIRE(setting.start() == storage::error::failed);
   setting.disk().failing = false;
   REQUIRE_FALSE(setting.start());
   REQUIRE(setting.all() == content);
--- a/tests/stored_data_test.cc
+++ b/tests/stored_data_test.cc
@@ -9,7 +9,7 @@
 #include "control_setting.h"
 #include "ledger/book.h"
 #include "ledger/program_head.h"
-#include "store_group.h"
+#include "replica_group_fixture.h"
 
 using namespace herontally;
 using tests::control_site;
@@ -49,9 +49,9 @@
 }
 
 // Everything that a voter holds, by record.
-std::map<std::string, std::string> all_records(const reg::voter& voter) {
+std::map<std::string, std::string> all_records(const replication::voter& voter) {
   std::map<std::string, std::string> found;
-  for (auto& record : voter.keys_with_prefix("")) {
+  for (auto& record : voter.records().records_with_prefix("")) {
     std::string key = record.size() > 2 ? record.substr(2) : "";
     std::optional<std::string> value;
     if (record[0] == 'k') value = voter.accepted_value(key);
@@ -68,10 +68,10 @@
   return out;
 }
 
-json summary_of(const reg::voter& voter) {
+json summary_of(const replication::voter& voter) {
   json records = json::object();
   for (auto& [record, value] : all_records(voter)) records[record] = hex(value);
-  return {{"id", voter.id()}, {"view", reg::view_text(voter.current())}, {"records", records}};
+  return {{"id", voter.id()}, {"view", consensus::to_text(voter.current_view())}, {"records", records}};
 }
 
 ledger::turn_wish wish_of(const std::string& program, const std::string& turn, const std::string& request,
@@ -91,14 +91,14 @@
   return content;
 }
 
-reg::mutator put_text(std::string text) {
+consensus::mutator put_text(std::string text) {
   return [text](const std::optional<std::string>&) { return std::optional<std::string>(text); };
 }
 
 // What the tests below find again.
 struct ledger_writer {
   group& site;
-  reg::proposer writer;
+  consensus::proposer writer;
   bool owner_gone = false;
   ledger::book book{writer,
                     [this](const std::string& owner, std::int64_t) { return owner == "a" && owner_gone; }};
@@ -134,15 +134,16 @@
     site.run("w",
              writer.change(ledger::head_key("p", "unreadable"), put_text("{\"epoch\":\"x\"}"), deadline()));
   }
-  ledger::call_receipt begin_call(const std::string& key) {
-    ledger::call_receipt started{"started", "v" + key, "digest", "engine-1", "", "", 0, 0, 11, 0};
-    auto begun = site.run("w", book.begin_call(ledger::receipt_key("p", "label", key), started, deadline()));
+  ledger::call_record begin_call(const std::string& key) {
+    ledger::call_record started{"started", "v" + key, "digest", "engine-1", "", "", 0, 0, 11, 0};
+    auto begun =
+        site.run("w", book.begin_call(ledger::call_record_key("p", "label", key), started, deadline()));
     REQUIRE(begun.end == ledger::book::call_end::mine);
-    return begun.receipt;
+    return begun.record;
   }
-  void end_call(const std::string& key, ledger::call_receipt last) {
-    REQUIRE(
-        site.run("w", book.end_call(ledger::receipt_key("p", "label", key), std::move(last), deadline())));
+  void end_call(const std::string& key, ledger::call_record last) {
+    REQUIRE(site.run("w",
+                     book.end_call(ledger::call_record_key("p", "label", key), std::move(last), deadline())));
   }
   void write_calls() {
     begin_call("running");
@@ -179,12 +180,12 @@
 };
 
 // s4 is to take the place of s3; the joint view is installed, and nothing is fetched yet.
-void begin_joint_view(group& site, reg::proposer writer) {
-  auto begun = site.run("w", reg::begin_move(writer, writer, site.places({"s1", "s2", "s4"}), 3,
-                                             site.deadline("w", 5 * second)));
-  REQUIRE(std::holds_alternative<reg::view>(begun));
-  REQUIRE(
-      site.run("w", reg::install_chosen(writer, std::get<reg::view>(begun), site.deadline("w", 5 * second))));
+void begin_joint_view(group& site, consensus::proposer writer) {
+  auto begun = site.run("w", reconfiguration::begin_move(writer, writer, site.places({"s1", "s2", "s4"}), 3,
+                                                         site.deadline("w", 5 * second)));
+  REQUIRE(std::holds_alternative<consensus::view>(begun));
+  REQUIRE(site.run("w", reconfiguration::install_chosen(writer, std::get<consensus::view>(begun),
+                                                        site.deadline("w", 5 * second))));
   site.world.run_for(20 * runtime::millisecond);
 }
 
@@ -192,7 +193,8 @@
   group site(71, 4);
   auto writer = site.begin();
   // The group keeps its own view, as the core does.
-  site.run("w", writer.change(reg::view_key_of("store"), put_text(reg::view_text(writer.current())),
+  site.run("w", writer.change(reconfiguration::view_register_key("store"),
+                              put_text(consensus::to_text(writer.current_view())),
                               site.deadline("w", 5 * second)));
   ledger_writer ledger{site, writer};
   ledger.write_turns();
@@ -242,10 +244,10 @@
     site.boot(name);
     auto& wanted = expected[name];
     CHECK(site.voters[name]->id() == wanted["id"]);
-    CHECK(reg::view_text(site.voters[name]->current()) == wanted["view"]);
+    CHECK(consensus::to_text(site.voters[name]->current_view()) == wanted["view"]);
     CHECK(summary_of(*site.voters[name])["records"] == wanted["records"]);
   }
-  auto joint = reg::view_from(expected["s1"]["view"].get<std::string>());
+  auto joint = consensus::view_from_text(expected["s1"]["view"].get<std::string>());
   CHECK(joint.joint());
   CHECK(joint.number == 2);
   CHECK(joint.epoch == 3);
@@ -278,11 +280,11 @@
   CHECK(json::parse(ledger::to_text(*later))["field_of_a_later_version"] == 7);
   for (auto* state : {"running", "done", "never", "gone"}) {
     auto found =
-        site.run("w", ledger.book.look_call(ledger::receipt_key("p", "label", state), ledger.deadline()));
-    REQUIRE(found.receipt);
+        site.run("w", ledger.book.look_call(ledger::call_record_key("p", "label", state), ledger.deadline()));
+    REQUIRE(found.record);
     std::map<std::string, std::string> states{
         {"running", "started"}, {"done", "done"}, {"never", "not-run"}, {"gone", "gone"}};
-    CHECK(json::parse(ledger::to_text(*found.receipt))["state"] == states[state]);
+    CHECK(json::parse(ledger::to_text(*found.record))["state"] == states[state]);
   }
   CHECK(site.run("w", ledger.programs.reserve("tree", "x5", 100, 40, ledger.deadline())) ==
         ledger::reserve_end::spent);
@@ -293,9 +295,9 @@
   CHECK(turns.turns[1].id == "k 2");
   CHECK(turns.turns[2].input == binary);
   CHECK(turns.turns[2].output == std::string(90, 'o') + "k3");
-  REQUIRE(site.run("w", reg::finish_move(writer, writer, site.deadline("w", 20 * second))));
-  CHECK(writer.current().number == 3);
-  CHECK(site.voters["s4"]->key_count() >= site.voters["s1"]->key_count());
+  REQUIRE(site.run("w", reconfiguration::finish_move(writer, writer, site.deadline("w", 20 * second))));
+  CHECK(writer.current_view().number == 3);
+  CHECK(site.voters["s4"]->records().record_count() >= site.voters["s1"]->records().record_count());
 }
 
 TEST_CASE("stored data of earlier builds: the cores serve the configuration and take the next one") {
--- a/tests/voter_plan_test.cc
+++ b/tests/voter_plan_test.cc
@@ -9,21 +9,21 @@
 
 namespace {
 
-reg::voter_place at(const std::string& node, const std::string& zone) {
+consensus::voter_info at(const std::string& node, const std::string& zone) {
   return {"id-" + node, node + ":7000", node, zone};
 }
 
-reg::view group_of(std::vector<reg::voter_place> voters) {
-  reg::view agreed;
+consensus::view group_of(std::vector<consensus::voter_info> voters) {
+  consensus::view agreed;
   agreed.group = "store";
   agreed.number = 1;
   agreed.voters = std::move(voters);
   return agreed;
 }
 
-std::vector<voter_observation> all_present(const reg::view& agreed) {
+std::vector<voter_observation> all_present(const consensus::view& agreed) {
   std::vector<voter_observation> observed;
-  for (auto& place : agreed.all()) observed.push_back({place, voter_condition::present, false});
+  for (auto& place : agreed.all_voters()) observed.push_back({place, voter_condition::present, false});
   return observed;
 }
 
@@ -33,7 +33,7 @@
   throw std::out_of_range(node);
 }
 
-std::set<std::string> nodes_in(const std::vector<reg::voter_place>& voters) {
+std::set<std::string> nodes_in(const std::vector<consensus::voter_info>& voters) {
   std::set<std::string> nodes;
   for (auto& place : voters) nodes.insert(place.node);
   return nodes;
@@ -44,8 +44,8 @@
 }  // namespace
 
 TEST_CASE("a first view has twice the losses and one voter more, spread over the zones") {
-  std::vector<reg::voter_place> machines{at("a1", "a"), at("a2", "a"), at("a3", "a"), at("b1", "b"),
-                                         at("b2", "b"), at("b3", "b"), at("c1", "c"), at("c2", "c")};
+  std::vector<consensus::voter_info> machines{at("a1", "a"), at("a2", "a"), at("a3", "a"), at("b1", "b"),
+                                              at("b2", "b"), at("b3", "b"), at("c1", "c"), at("c2", "c")};
   auto five = plan_voters({}, {}, machines, two_losses);
   CHECK(five.size() == 5);
   CHECK(shortfall_of(five, two_losses) == voter_shortfall{});
@@ -59,7 +59,7 @@
 TEST_CASE("a group that is as it should be is left alone") {
   auto agreed = group_of({at("a1", "a"), at("b1", "b"), at("c1", "c")});
   auto wanted = plan_voters(agreed, all_present(agreed), {at("a2", "a"), at("b2", "b")}, one_loss);
-  CHECK(reg::view::same_members(wanted, agreed.voters));
+  CHECK(consensus::same_voters(wanted, agreed.voters));
 }
 
 TEST_CASE("a group of three grows to five once two more machines are there, never to four") {
@@ -91,7 +91,7 @@
   auto observed = all_present(agreed);
   observation_of(observed, "c1").condition = voter_condition::lost;
   auto wanted = plan_voters(agreed, observed, {}, two_losses);
-  CHECK(reg::view::same_members(wanted, agreed.voters));
+  CHECK(consensus::same_voters(wanted, agreed.voters));
 }
 
 TEST_CASE("two voters lost at once are replaced in one move") {
@@ -105,7 +105,7 @@
 
 TEST_CASE("a joining voter that is lost before it holds anything gives its place to another, or back") {
   auto joint = group_of({at("a1", "a"), at("b1", "b"), at("c2", "c")});
-  joint.before = {at("a1", "a"), at("b1", "b"), at("c1", "c")};
+  joint.previous_voters = {at("a1", "a"), at("b1", "b"), at("c1", "c")};
   auto observed = all_present(joint);
   observation_of(observed, "c2").condition = voter_condition::lost;
   auto other = plan_voters(joint, observed, {at("c3", "c")}, one_loss);
@@ -121,7 +121,7 @@
   auto agreed = group_of({at("a1", "a"), at("b1", "b"), at("c1", "c")});
   auto observed = all_present(agreed);
   observation_of(observed, "b1").retiring = true;
-  CHECK(reg::view::same_members(plan_voters(agreed, observed, {}, one_loss), agreed.voters));
+  CHECK(consensus::same_voters(plan_voters(agreed, observed, {}, one_loss), agreed.voters));
   CHECK(nodes_in(plan_voters(agreed, observed, {at("b2", "b")}, one_loss)) ==
         std::set<std::string>{"a1", "b2", "c1"});
 }
--- a/tests/wire_bytes_test.cc
+++ b/tests/wire_bytes_test.cc
@@ -6,13 +6,13 @@
 #include <catch2/catch.hpp>
 #include <fstream>
 
+#include "consensus/view.h"
 #include "desired/record.h"
 #include "engine/listing.h"
 #include "hcore/node_state.h"
 #include "ledger/program_head.h"
 #include "platform/adapter.h"
-#include "register/view.h"
-#include "wire/wire.h"
+#include "rpc/endpoint.h"
 
 using namespace herontally;
 
@@ -48,11 +48,11 @@
 template <class Message>
 void add(named_bytes& out, const std::string& kind, const Message& message) {
   json fields = message;
-  auto encoded = wire::encode(kind, fields);
+  auto encoded = rpc::encode(kind, fields);
   INFO(kind);
   REQUIRE(std::holds_alternative<std::string>(encoded));
   auto& bytes = std::get<std::string>(encoded);
-  auto decoded = wire::decode(kind, bytes);
+  auto decoded = rpc::decode(kind, bytes);
   REQUIRE(std::holds_alternative<json>(decoded));
   REQUIRE(json(std::get<json>(decoded).get<Message>()) == fields);
   out[kind] = hex(bytes);
@@ -60,65 +60,70 @@
 
 template <class Message>
 void add(named_bytes& out, const Message& message) {
-  add(out, Message::record, message);
+  add(out, Message::kind, message);
 }
 
-wire::member a_member(const std::string& name, const std::string& status) {
-  return {name, "hstore", "zone-a", "10.0.0.1:7000", "10.0.0.1:8000", 17, status, 3};
+rpc::member a_member(const std::string& name, rpc::member_status status) {
+  return {name, rpc::node_role::store, "zone-a", "10.0.0.1:7000", "10.0.0.1:8000", 17, status, 3};
 }
 
 void add_voting(named_bytes& out) {
-  wire::ballot low{3, 5}, high{8, 9};
+  rpc::ballot low{3, 5}, high{8, 9};
   add(out, "ballot", low);
-  add(out, wire::voter_ask{"accept", "voter-1", 4, "key", low, bytes_of_all_values, true, true});
-  add(out, wire::voter_receipt{"behind", high, low, bytes_of_all_values, "{\"view\":1}"});
-  add(out, wire::content_put{"voter-1", "digest", bytes_of_all_values, true, 4});
-  add(out, wire::content_put_receipt{"yes"});
-  add(out, wire::chain_ask{"voter-1", "digest", 12, 4});
-  add(out, wire::chain_receipt{{bytes_of_all_values, "second"}, "yes"});
-  add(out, wire::keys_ask{"voter-1", "k/after", 1000, 7, 4});
-  add(out, wire::keys_receipt{"yes", {"k/a", "c/b"}, {low, high}, true, {high, low}});
-  add(out, wire::records_ask{"voter-1", 4, {"k/a", "c/b"}});
-  add(out, wire::records_receipt{"yes", {bytes_of_all_values, ""}});
-  add(out, wire::fill_ask{"voter-1", 4});
-  add(out, wire::fill_receipt{"failed", {"k/a"}});
-  add(out, wire::sums_ask{"voter-1"});
-  add(out, wire::sums_receipt{"yes", {1, -2, 1ll << 60}});
-  add(out, wire::identify_ask{"store"});
-  add(out, wire::identify_receipt{"voter-1", "{\"view\":1}", false});
-  add(out, wire::install_view{"voter-1", "{\"view\":1}"});
-  add(out, wire::install_view_receipt{"unknown voter"});
-  add(out, wire::handover{"voter-1", 4, "key", low, bytes_of_all_values});
-  add(out, wire::handover_receipt{"view"});
+  add(out,
+      rpc::vote_request{rpc::vote_phase::accept, "voter-1", 4, "key", low, bytes_of_all_values, true, true});
+  add(out,
+      rpc::vote_reply{rpc::reply_status::ballot_outdated, high, low, bytes_of_all_values, "{\"view\":1}"});
+  add(out, rpc::put_content_request{"voter-1", "digest", bytes_of_all_values, true, 4});
+  add(out, rpc::put_content_reply{rpc::reply_status::ok});
+  add(out, rpc::read_chain_request{"voter-1", "digest", 12, 4});
+  add(out, rpc::read_chain_reply{{bytes_of_all_values, "second"}, rpc::reply_status::ok});
+  add(out, rpc::list_records_request{"voter-1", "k/after", 1000, 7, 4});
+  add(out, rpc::list_records_reply{rpc::reply_status::ok, {"k/a", "c/b"}, {low, high}, true, {high, low}});
+  add(out, rpc::read_records_request{"voter-1", 4, {"k/a", "c/b"}});
+  add(out, rpc::read_records_reply{rpc::reply_status::ok, {bytes_of_all_values, ""}});
+  add(out, rpc::catch_up_request{"voter-1", 4});
+  add(out, rpc::catch_up_reply{rpc::reply_status::failed, {"k/a"}});
+  add(out, rpc::checksums_request{"voter-1"});
+  add(out, rpc::checksums_reply{rpc::reply_status::ok, {1, -2, 1ll << 60}});
+  add(out, rpc::identify_request{"store"});
+  add(out, rpc::identify_reply{"voter-1", "{\"view\":1}", false});
+  add(out, rpc::install_view_request{"voter-1", "{\"view\":1}"});
+  add(out, rpc::install_view_reply{rpc::reply_status::unknown_voter});
+  add(out, rpc::repair_record_request{"voter-1", 4, "key", low, bytes_of_all_values});
+  add(out, rpc::repair_record_reply{rpc::reply_status::view_mismatch});
 }
 
 void add_control(named_bytes& out) {
-  add(out, wire::news_ask{"agent-1", 5, 4, 3, 2, 250, 17, 6, "10.0.0.1:9000"});
-  add(out, wire::news_receipt{5,
-                              "{\"revision\":5}",
-                              120,
-                              3,
-                              2,
-                              6,
-                              "[]",
-                              "[{}]",
-                              40,
-                              {"engine-1", "engine-2"},
-                              "{\"agent-2\":9}"});
-  add(out, wire::in_force{"agent-1", 5});
-  add(out, wire::in_force_receipt{"yes"});
-  add(out, wire::chosen{5, "{\"revision\":5}"});
-  add(out, wire::chosen_receipt{5});
-  add(out, "member", a_member("store-1", "suspect"));
-  add(out, wire::probe{"10.0.0.2:7000", true, {a_member("store-1", "alive")}, 99});
-  add(out, wire::probe_receipt{false, {a_member("store-2", "dead"), a_member("store-3", "left")}, 98});
-  add(out, wire::engines_push{3, 2, "[]"});
-  add(out, wire::engines_push_receipt{"lacking", 4});
-  add(out, wire::trace_ask{5});
-  add(out, "trace_event", wire::trace_event{5, "learned", "core", 1234});
-  add(out,
-      wire::trace_receipt{"core-1", "hcore", {{5, "learned", "core", 1234}, {6, "chosen", "register", 1}}});
-  wire::envelope cover{5, "voter_ask", "core-1", bytes_of_all_values};
+  add(out, rpc::config_update_request{"agent-1", 5, 4, 3, 2, 250, 17, 6, "10.0.0.1:9000"});
+  add(out, rpc::config_update_reply{5,
+                                    "{\"revision\":5}",
+                                    120,
+                                    3,
+                                    2,
+                                    6,
+                                    "[]",
+                                    "[{}]",
+                                    40,
+                                    {"engine-1", "engine-2"},
+                                    "{\"agent-2\":9}"});
+  add(out, rpc::config_applied_request{"agent-1", 5});
+  add(out, rpc::config_applied_reply{rpc::reply_status::ok});
+  add(out, rpc::config_committed_request{5, "{\"revision\":5}"});
+  add(out, rpc::config_committed_reply{5});
+  add(out, "member", a_member("store-1", rpc::member_status::suspect));
+  add(out, rpc::probe_request{"10.0.0.2:7000", true, {a_member("store-1", rpc::member_status::alive)}, 99});
+  add(out, rpc::probe_reply{
+               false,
+               {a_member("store-2", rpc::member_status::dead), a_member("store-3", rpc::member_status::left)},
+               98});
+  add(out, rpc::engine_list_request{3, 2, "[]"});
+  add(out, rpc::engine_list_reply{rpc::reply_status::content_missing, 4});
+  add(out, rpc::trace_request{5});
+  add(out, "trace_event", rpc::trace_event{5, "learned", "core", 1234});
+  add(out, rpc::trace_reply{
+               "core-1", rpc::node_role::core, {{5, "learned", "core", 1234}, {6, "chosen", "register", 1}}});
+  rpc::envelope cover{5, "voter_ask", "core-1", bytes_of_all_values};
   add(out, "envelope", cover);
 }
 
@@ -161,23 +166,25 @@
 }
 
 void add_stored_documents(named_bytes& out) {
-  reg::voter_place first{"voter-1", "10.0.0.1:7000", "store-1", "zone-a"};
-  reg::voter_place second{"voter-2", "10.0.0.2:7000", "store-2", "zone-b"};
-  out["view"] = reg::view_text({"store", 4, {first, second}, {first}, 9});
-  out["members"] = json(std::vector{a_member("store-1", "alive"), a_member("store-2", "dead")}).dump();
+  consensus::voter_info first{"voter-1", "10.0.0.1:7000", "store-1", "zone-a"};
+  consensus::voter_info second{"voter-2", "10.0.0.2:7000", "store-2", "zone-b"};
+  out["view"] = consensus::to_text({"store", 4, {first, second}, {first}, 9});
+  out["members"] = json(std::vector{a_member("store-1", rpc::member_status::alive),
+                                    a_member("store-2", rpc::member_status::dead)})
+                       .dump();
   out["storage_list"] = json(hcore::storage_list{4, {"store-1", "store-2"}, {"store-1"}}).dump();
   out["ledger_head"] = ledger::to_text(a_head());
   out["told_page"] = ledger::to_text(ledger::told_page{"page-0", {"turn-7", "turn-6"}});
   out["turn_content"] = ledger::to_text(
       ledger::turn_content{"d2", "p", "chat", "turn-3", "prompt", "output", 2, {1, 2}, {3, 4}});
   out["call_receipt"] = ledger::to_text(
-      ledger::call_receipt{"done", "request-1", "body", "engine-1", "text/plain", "answer", 2, 200, 11, 12});
+      ledger::call_record{"done", "request-1", "body", "engine-1", "text/plain", "answer", 2, 200, 11, 12});
   out["program_head"] =
       ledger::to_text(ledger::program_head{7, 1700000000000000, {{"turn %", 9}}, {"t1", "t2"}});
   out["turn_record"] =
       hex(ledger::to_text(ledger::turn_record{"id 1", "id 0", "in", bytes_of_all_values, 12}));
   out["turn_key"] = ledger::turn_key("a b%c") + " " + ledger::program_key("a\"b");
-  out["keys"] = ledger::head_key("p", "chat:1") + " " + ledger::receipt_key("p", "label", "key");
+  out["keys"] = ledger::head_key("p", "chat:1") + " " + ledger::call_record_key("p", "label", "key");
   desired::record record;
   record.revision = 6;
   record.version = 5;
@@ -195,7 +202,7 @@
   out["desired_fault"] = json(desired::fault{"/shared", "is wrong"}).dump();
 }
 
-std::string reply_text(const runtime::http_receipt& reply) {
+std::string reply_text(const runtime::http_response& reply) {
   return std::to_string(reply.status) + " " + json(reply.headers).dump() + " " + reply.body;
 }
 
@@ -260,13 +267,13 @@
     INFO(name);
     CHECK(again == texts.at(name));
   };
-  same("view", reg::view_text(reg::view_from(texts.at("view"))));
-  same("members", json(json::parse(texts.at("members")).get<std::vector<wire::member>>()).dump());
+  same("view", consensus::to_text(consensus::view_from_text(texts.at("view"))));
+  same("members", json(json::parse(texts.at("members")).get<std::vector<rpc::member>>()).dump());
   same("storage_list", json(json::parse(texts.at("storage_list")).get<hcore::storage_list>()).dump());
   same("ledger_head", ledger::to_text(ledger::from_text(texts.at("ledger_head"))));
   same("told_page", ledger::to_text(*ledger::told_page_from(texts.at("told_page"))));
   same("turn_content", ledger::to_text(*ledger::content_from(texts.at("turn_content"))));
-  same("call_receipt", ledger::to_text(*ledger::receipt_from(texts.at("call_receipt"))));
+  same("call_receipt", ledger::to_text(*ledger::call_record_from(texts.at("call_receipt"))));
   same("program_head", ledger::to_text(*ledger::program_head_from(texts.at("program_head"))));
   same("desired_record", desired::to_text(*desired::from_text(texts.at("desired_record"))));
   auto record = *desired::from_text(texts.at("desired_routing_record"));
