--- /dev/null
+++ b/src/agent/context.h
@@ -0,0 +1,43 @@
+// Internal to the agent: what its parts share. The node owns it; parts keep it alive while their tasks run.
+#pragma once
+#include "config_distribution/change_trace.h"
+#include "config_distribution/config_store.h"
+#include "config_distribution/freshness.h"
+#include "membership/member_list.h"
+#include "platform_protocol/adapter.h"
+#include "settings/settings.h"
+
+namespace herontally::agent {
+
+using runtime::microseconds;
+using runtime::millisecond;
+using runtime::second;
+using runtime::task;
+
+struct context {
+  runtime::handle runtime;
+  settings::settings place;
+  logging::logger logger;
+  std::shared_ptr<const platform_protocol::adapter> platform_adapter;  // nullptr: the product's own protocol
+  rpc::endpoint endpoint;
+  membership::member_list members;
+  config_distribution::config_store configs;
+  config_distribution::freshness freshness;
+  config_distribution::change_trace trace;
+
+  context(runtime::handle handle, settings::settings given, logging::logger given_logger,
+          std::shared_ptr<const platform_protocol::adapter> adapter)
+      : runtime(handle),
+        place(std::move(given)),
+        logger(given_logger),
+        platform_adapter(std::move(adapter)),
+        endpoint(handle, place.name, given_logger),
+        members(endpoint, membership::own_entry(place, rpc::node_role::agent), place.seeds),
+        configs(handle),
+        freshness(handle, place.name),
+        trace(handle) {
+    if (place.speaks > 0) endpoint.set_version(place.speaks);
+  }
+};
+
+}  // namespace herontally::agent
--- /dev/null
+++ b/src/agent/node.cc
@@ -0,0 +1,70 @@
+#include "agent/node.h"
+
+#include "agent/proxy_link.h"
+#include "gateway/http.h"
+
+namespace herontally::agent {
+
+struct node::state {
+  std::shared_ptr<context> shared;
+  std::shared_ptr<draining_watch> watch;
+  std::shared_ptr<proxy_link> proxy;
+  std::shared_ptr<config_feed> feed;
+  bool leaving = false;
+
+  explicit state(std::shared_ptr<context> made)
+      : shared(made),
+        watch(std::make_shared<draining_watch>(made)),
+        proxy(std::make_shared<proxy_link>(made, watch)),
+        feed(
+            std::make_shared<config_feed>(made, watch, [link = proxy] { return link->applied_revision(); })) {
+    proxy->set_feed(feed);
+  }
+
+  bool ready() const {
+    auto age = feed->age_milliseconds();
+    return age >= 0 && age * millisecond <= config_distribution::max_config_age && !leaving;
+  }
+  void serve_pages(const runtime::inbound_request& request, const gateway::writer& out) const {
+    nlohmann::json detail{{"revision", shared->configs.revision()}};
+    if (!gateway::common_pages(request, out, shared->logger, ready(), detail))
+      gateway::reject(out, 404, "no such page", gateway::executed::no);
+  }
+};
+
+node::node(runtime::handle runtime, settings::settings place, logging::logger logger,
+           std::shared_ptr<const platform_protocol::adapter> platform_adapter)
+    : state_(std::make_shared<state>(std::make_shared<context>(
+          std::move(runtime), std::move(place), std::move(logger), std::move(platform_adapter)))) {}
+node::~node() = default;
+
+task<std::optional<std::string>> node::start() {
+  auto self = state_;
+  auto shared = self->shared;
+  shared->endpoint.serve<rpc::config_update_request>(
+      [link = self->proxy](rpc::config_update_request request) { return link->serve(std::move(request)); });
+  shared->trace.serve(shared->endpoint, rpc::node_role::agent);
+  if (!shared->endpoint.listen(shared->place.inner))
+    co_return "inner can't be listened on: " + shared->place.inner;
+  shared->members.start();
+  shared->runtime.spawn(self->feed->follow_core());
+  shared->runtime.spawn(self->feed->follow_peers());
+  shared->runtime.spawn(self->watch->run());
+  shared->runtime.spawn(self->proxy->run());
+  std::weak_ptr<state> weak = self;
+  auto pages = [weak](runtime::inbound_request request, gateway::writer out) {
+    if (auto here = weak.lock()) here->serve_pages(request, out);
+  };
+  if (!shared->runtime.http_serve(shared->place.http, pages))
+    co_return "http can't be listened on: " + shared->place.http;
+  shared->logger.info("started");
+  co_return std::nullopt;
+}
+
+task<> node::leave() {
+  auto self = state_;
+  self->leaving = true;
+  co_await self->shared->members.leave();
+}
+
+}  // namespace herontally::agent
--- a/src/desired/calendar.cc
+++ b/src/configuration/cron.cc
@@ -1,4 +1,4 @@
-#include "desired/calendar.h"
+#include "configuration/cron.h"
 
 #include <time.h>
 
@@ -6,7 +6,7 @@
 #include <sstream>
 #include <vector>
 
-namespace herontally::desired {
+namespace herontally::configuration {
 
 namespace {
 
@@ -102,4 +102,4 @@
   return day && weekday;
 }
 
-}  // namespace herontally::desired
+}  // namespace herontally::configuration
--- a/src/desired/calendar.h
+++ b/src/configuration/cron.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <variant>
 
-namespace herontally::desired {
+namespace herontally::configuration {
 
 struct cron {
   std::bitset<60> minutes;
@@ -23,4 +23,4 @@
 bool ever_matches(const cron& when);
 bool matches(const cron& when, std::int64_t minute_since_1970);
 
-}  // namespace herontally::desired
+}  // namespace herontally::configuration
--- a/src/desired/state.cc
+++ b/src/configuration/snapshot.cc
@@ -1,6 +1,6 @@
-#include "desired/state.h"
+#include "configuration/snapshot.h"
 
-namespace herontally::desired {
+namespace herontally::configuration {
 
 namespace {
 
@@ -58,7 +58,7 @@
   out.outcome_path = from.value("outcome_path", "");
   out.table = from.value("table", "");
   out.effectful = from.value("effectful", true);
-  out.receipt_seconds = from.value("receipt_seconds", out.receipt_seconds);
+  out.answer_retention_seconds = from.value("receipt_seconds", out.answer_retention_seconds);
   out.timeout_seconds = from.value("timeout_seconds", out.timeout_seconds);
   return out;
 }
@@ -96,15 +96,15 @@
   return found == tables.end() ? table{} : found->second;
 }
 
-state state_of(const record& content) {
-  state out;
+snapshot snapshot_of(const record& content) {
+  snapshot out;
   out.revision = content.revision;
   out.version = content.version;
   out.edges = content.edges;
-  out.edges_before = content.edges_before;
+  out.previous_edges = content.previous_edges;
   json shared = content.document.value("shared", json::object());
-  out.evacuated_zones = shared.value("evacuated_zones", out.evacuated_zones);
-  out.retiring_storage = shared.value("retiring_storage", out.retiring_storage);
+  out.evacuated_zones = shared_names(content.document, evacuated_zones);
+  out.retiring_storage = shared_names(content.document, retiring_storage);
   json limits = shared.value("limits", json::object());
   out.limit.queue_seconds = limits.value("queue_seconds", out.limit.queue_seconds);
   out.limit.client_buffer_kilobytes =
@@ -118,4 +118,4 @@
   return out;
 }
 
-}  // namespace herontally::desired
+}  // namespace herontally::configuration
--- a/src/desired/state.h
+++ b/src/configuration/snapshot.h
@@ -1,16 +1,17 @@
-// The desired state as plain structs, for those who place turns.
+// The configuration as plain structs, for those who place turns and calls. Made from a record, and never
+// changed.
 #pragma once
 #include <map>
 #include <set>
 
-#include "desired/record.h"
+#include "configuration/record.h"
 
-namespace herontally::desired {
+namespace herontally::configuration {
 
 struct model {
   std::string name, weights, hash_seed;
   std::int64_t block_tokens = 16;
-  std::optional<std::int64_t> min_cached_token_delta;  // nothing: no pulls
+  std::optional<std::int64_t> min_cached_token_delta;  // nothing: no prefix cache is pulled
   std::int64_t near_tie_tokens = 0;
   double pull_seconds = 2, warm_seconds = 20;
   std::int64_t pulls_per_lender = 4, pulls_per_borrower = 4, turns_per_engine = 8, cold_turns = 1;
@@ -33,7 +34,7 @@
   std::string application, path, outcome_path, table;
   bool effectful = true;
   double timeout_seconds = 10;
-  std::int64_t receipt_seconds = 2592000;  // how long a done call's answer is kept
+  std::int64_t answer_retention_seconds = 2592000;  // of a call that is done
 };
 struct partner {
   std::map<std::string, model> models;
@@ -49,16 +50,16 @@
   double queue_seconds = 5;
   std::int64_t client_buffer_kilobytes = 256, requests_per_client = 512;
 };
-struct state {
+struct snapshot {
   std::int64_t revision = 0, version = 0;
-  std::vector<std::string> edges, edges_before;  // by their agents' names, in order
+  std::vector<std::string> edges, previous_edges;  // by their agents' names, in order
   std::set<std::string> evacuated_zones, retiring_storage;
   limits limit;
   std::map<std::string, partner> partners;
   std::optional<routing::table> routing;  // nothing: no operator has sent one
 };
 
-// Of a document that `check` has passed.
-state state_of(const record& content);
+// Of a record whose document has no violations.
+snapshot snapshot_of(const record& content);
 
-}  // namespace herontally::desired
+}  // namespace herontally::configuration
--- a/src/desired/check.cc
+++ b/src/configuration/validation.cc
@@ -1,14 +1,16 @@
+// Validates an operators' document: its shape by the shared JSON Schema, then the references between its
+// parts.
 #include <valijson/adapters/nlohmann_json_adapter.hpp>
 #include <valijson/schema.hpp>
 #include <valijson/schema_parser.hpp>
 #include <valijson/validation_results.hpp>
 #include <valijson/validator.hpp>
 
-#include "desired/calendar.h"
-#include "desired/record.h"
+#include "configuration/cron.h"
+#include "configuration/record.h"
 #include "schema_operators.h"
 
-namespace herontally::desired {
+namespace herontally::configuration {
 
 namespace {
 
@@ -46,7 +48,7 @@
   return pointer;
 }
 
-void check_shape(const json& document, std::vector<fault>& faults) {
+void check_shape(const json& document, std::vector<violation>& violations) {
   valijson::Validator validator;
   valijson::ValidationResults results;
   if (validator.validate(schema(), valijson::adapters::NlohmannJsonAdapter(document), &results)) return;
@@ -62,24 +64,24 @@
     bool covered = inner != deepest.end() &&
                    inner->first.compare(0, pointer.size() + 1, pointer + "/") == 0 &&
                    what.find("chema") != std::string::npos;
-    if (!covered) faults.push_back({pointer, what});
+    if (!covered) violations.push_back({pointer, what});
   }
 }
 
 struct cross_check {
-  std::vector<fault>& faults;
+  std::vector<violation>& violations;
   void named(const json& section, const std::string& within, const char* kind, const json& entry,
              const char* field, const std::string& pointer) {
     if (!entry.contains(field)) return;
     std::string name = entry[field];
     if (!section.contains(kind) || !section[kind].contains(name))
-      faults.push_back(
+      violations.push_back(
           {pointer + "/" + field, std::string("names no entry of ") + within + "/" + kind + ": " + name});
   }
 };
 
-void check_partner(const json& section, const std::string& pointer, std::vector<fault>& faults) {
-  cross_check cross{faults};
+void check_partner(const json& section, const std::string& pointer, std::vector<violation>& violations) {
+  cross_check cross{violations};
   auto each = [&](const char* kind, auto check_entry) {
     if (!section.contains(kind)) return;
     for (auto& [name, entry] : section[kind].items())
@@ -97,28 +99,29 @@
     if (!entry.contains("minCachedTokenDelta")) return;
     for (auto& [model, delta] : entry["minCachedTokenDelta"].items())
       if (!section.contains("models") || !section["models"].contains(model))
-        faults.push_back({place + "/minCachedTokenDelta/" + escape(model), "names no model of " + pointer});
+        violations.push_back(
+            {place + "/minCachedTokenDelta/" + escape(model), "names no model of " + pointer});
   });
   each("calendars", [&](const json& entry, const std::string& place) {
     cross.named(section, pointer, "programs", entry, "program", place);
     cross.named(section, pointer, "tables", entry, "table", place);
     auto parsed = parse_cron(entry["cron"].get<std::string>());
-    if (auto* why = std::get_if<std::string>(&parsed)) faults.push_back({place + "/cron", *why});
+    if (auto* why = std::get_if<std::string>(&parsed)) violations.push_back({place + "/cron", *why});
     auto* when = std::get_if<cron>(&parsed);
-    if (when && !ever_matches(*when)) faults.push_back({place + "/cron", "names a day that never comes"});
+    if (when && !ever_matches(*when)) violations.push_back({place + "/cron", "names a day that never comes"});
   });
 }
 
 }  // namespace
 
-std::vector<fault> check(const json& document) {
-  std::vector<fault> faults;
-  check_shape(document, faults);
+std::vector<violation> validate(const json& document) {
+  std::vector<violation> violations;
+  check_shape(document, violations);
   // References are looked at only in a document of the right shape.
-  if (!faults.empty()) return faults;
+  if (!violations.empty()) return violations;
   for (auto& [name, section] : document["partners"].items())
-    check_partner(section, "/partners/" + escape(name), faults);
-  return faults;
+    check_partner(section, "/partners/" + escape(name), violations);
+  return violations;
 }
 
-}  // namespace herontally::desired
+}  // namespace herontally::configuration
--- /dev/null
+++ b/src/control_node/context.cc
@@ -0,0 +1,22 @@
+#include "control_node/context.h"
+
+namespace herontally::control_node {
+
+std::optional<configuration::record> context::current_config() const {
+  if (configs.config_text().empty()) return std::nullopt;
+  return configuration::record_from_text(configs.config_text());
+}
+
+void context::learn_config(const std::string& text, const std::string& source) {
+  auto content = configuration::record_from_text(text);
+  if (!content) return;
+  // What an operator sent is kept in the register alone; those who route need only what it means.
+  bool reduced = !content->operator_source.empty();
+  auto distributed = reduced ? to_text(configuration::without_operator_source(*content)) : text;
+  if (!configs.set_config(content->revision, distributed)) return;
+  trace.add(content->revision, "learned", source);
+  logger.info("configuration learned", {{"revision", content->revision}, {"source", source}});
+  logger.gauge("herontally_desired_revision", static_cast<double>(content->revision));
+}
+
+}  // namespace herontally::control_node
--- /dev/null
+++ b/src/control_node/engine_list_poller.cc
@@ -0,0 +1,126 @@
+#include "control_node/engine_list_poller.h"
+
+#include "engine/listing.h"
+
+namespace herontally::control_node {
+
+namespace {
+
+constexpr microseconds platform_timeout = 800 * millisecond;
+constexpr microseconds own_poll_period = 250 * millisecond;
+// Published again this often, for a core that was away when the list was new.
+constexpr microseconds republish_period = 400 * millisecond;
+constexpr microseconds adapter_check_period = 50 * millisecond;
+constexpr microseconds min_adapter_poll_period = 500 * millisecond;
+// Without a list, nodes that have just started wait for one.
+constexpr microseconds first_poll_delay = 250 * millisecond;
+constexpr double min_list_rate = 0.1;
+
+}  // namespace
+
+task<> engine_list_poller::run() {
+  return context_->platform_adapter ? run_with_adapter() : run_own_protocol();
+}
+
+void engine_list_poller::enter_epoch() {
+  auto epoch = context_->engine_list_role.epoch();
+  if (published_epoch_ == epoch) return;
+  published_epoch_ = epoch;
+  publisher_->begin_epoch();
+}
+
+void engine_list_poller::report_draining(const std::string& engine, const std::string& entry) const {
+  bool is_new = publisher_->last_published().find(entry) == std::string::npos;
+  if (is_new) context_->logger.info("engine leaves", {{"engine", engine}, {"says", "platform"}});
+}
+
+void engine_list_poller::handle_own_list(const json& engines) {
+  std::string text = engines.dump();
+  enter_epoch();
+  bool again = context_->runtime.now() - published_ > republish_period;
+  bool changed = text != publisher_->last_published();
+  if (!changed && !again) return;
+  for (auto& engine : engines) {
+    bool draining = engine.is_object() && engine.value("state", "running") != "running";
+    if (draining) report_draining(engine.value("name", ""), engine.dump());
+  }
+  if (changed)
+    context_->logger.info("engine list changed", {{"engines", engines.size()}, {"epoch", published_epoch_}});
+  published_ = context_->runtime.now();
+  publisher_->publish(text);
+}
+
+task<> engine_list_poller::run_own_protocol() {
+  auto self = shared_from_this();
+  auto shared = self->context_;
+  while (true) {
+    co_await shared->runtime.sleep(own_poll_period);
+    if (!shared->engine_list_role.is_owner()) continue;
+    runtime::http_request request;
+    request.path = "/v1/engines";
+    auto result =
+        co_await runtime::http_fetch(shared->runtime, shared->place.platform, request, platform_timeout);
+    auto* response = std::get_if<runtime::http_response>(&result);
+    bool answered = response && response->status == 200;
+    auto document = answered ? json::parse(response->body, nullptr, false) : json();
+    bool usable = document.is_object() && document.contains("engines") && document["engines"].is_array();
+    if (usable)
+      self->handle_own_list(document["engines"]);
+    else
+      shared->logger.count("herontally_platform_silent_total");
+  }
+}
+
+// The list is read as soon as the role has stayed here for a moment, while cores that come up take it from
+// each other.
+bool engine_list_poller::is_poll_due() {
+  auto& shared = *context_;
+  if (!shared.engine_list_role.is_owner() || shared.place.platform.empty()) return false;
+  auto now = shared.runtime.now();
+  if (polled_epoch_ != shared.engine_list_role.epoch()) {
+    polled_epoch_ = shared.engine_list_role.epoch();
+    polled_ = now;
+  }
+  bool none = shared.configs.engines_text().empty();
+  return now - polled_ >= (none ? first_poll_delay : pause_);
+}
+
+task<> engine_list_poller::poll_with_adapter() {
+  auto self = shared_from_this();
+  auto shared = self->context_;
+  bool none = shared->configs.engines_text().empty();
+  self->polled_ = shared->runtime.now();
+  auto owned_epoch = shared->engine_list_role.epoch();
+  auto listing = co_await engine::fetch_listing(shared->runtime, shared->place.platform,
+                                                shared->platform_adapter, platform_timeout);
+  if (!listing) {
+    shared->logger.count("herontally_platform_silent_total");
+    co_return;
+  }
+  // Another core owns the role by now, or has published a list while this one was being read: that one
+  // counts.
+  bool superseded = owned_epoch != shared->engine_list_role.epoch() || !shared->engine_list_role.is_owner();
+  if (superseded || (none && !shared->configs.engines_text().empty())) co_return;
+  // At most half of the rate is ours: edges that are cut off look for themselves.
+  double rate = std::max(shared->place.list_rate, min_list_rate);
+  self->pause_ =
+      std::max(min_adapter_poll_period, static_cast<microseconds>(listing->pages * 2 / rate * second));
+  self->enter_epoch();
+  std::string text = engine::listing_text(listing->engines);
+  for (auto& engine : listing->engines)
+    if (engine.draining) self->report_draining(engine.id, json(engine).dump());
+  if (text != shared->configs.engines_text())
+    shared->logger.info("engine list changed",
+                        {{"engines", listing->engines.size()}, {"epoch", self->published_epoch_}});
+  self->publisher_->publish(text);
+}
+
+task<> engine_list_poller::run_with_adapter() {
+  auto self = shared_from_this();
+  while (true) {
+    co_await self->context_->runtime.sleep(adapter_check_period);
+    if (self->is_poll_due()) co_await self->poll_with_adapter();
+  }
+}
+
+}  // namespace herontally::control_node
--- /dev/null
+++ b/src/control_node/platform_operator_api.cc
@@ -0,0 +1,278 @@
+#include "control_node/platform_operator_api.h"
+
+#include <openssl/evp.h>
+
+namespace herontally::control_node {
+
+using platform_protocol::command_reply;
+using platform_protocol::command_status;
+
+namespace {
+
+// Callers give a node up after a second of silence.
+constexpr microseconds command_timeout = 800 * millisecond;
+// This long after its start a core may not have heard of every machine.
+constexpr microseconds introduction_time = 5 * second;
+constexpr unsigned digest_bytes = 16;
+
+// The digest by which a repeated call is recognised; stored.
+std::string digest_of(const platform_protocol::change_command& command) {
+  static const char digits[] = "0123456789abcdef";
+  std::string text =
+      std::to_string(command.expected) + (command.partial ? "/part/" : "/whole/") + command.body;
+  unsigned char raw[EVP_MAX_MD_SIZE];
+  unsigned size = 0;
+  EVP_Digest(text.data(), text.size(), raw, &size, EVP_sha256(), nullptr);
+  std::string out;
+  for (unsigned position = 0; position < digest_bytes && position < size; ++position)
+    out += {digits[raw[position] / 16], digits[raw[position] % 16]};
+  return out;
+}
+
+// What the register's answer makes of an outcome that the mutator found.
+command_status combine(consensus::change_status change, command_status found) {
+  switch (change) {
+    case consensus::change_status::unknown:
+      return command_status::unclear;
+    case consensus::change_status::unreachable:
+    case consensus::change_status::disk_full:
+      return command_status::unreachable;
+    case consensus::change_status::committed:
+    case consensus::change_status::declined:
+      return found;
+  }
+  return found;
+}
+
+// Applies a configuration change to the current record, or fills in what stands against it.
+std::optional<configuration::record> edit_routing(const configuration::record& current,
+                                                  const platform_protocol::change_command& command,
+                                                  const platform_protocol::adapter& adapter,
+                                                  const std::string& change_id, command_reply& reply) {
+  auto digest = digest_of(command);
+  reply.version = configuration::routing_version(current);
+  // The same call again, after an answer that was lost; also an earlier round of this very change.
+  if (auto* applied = configuration::find_applied(current, digest)) {
+    reply.version = applied->version;
+    return std::nullopt;
+  }
+  if (command.expected < 0) {
+    reply.status = command_status::invalid;
+    reply.violations.push_back({"", "does not say which version it builds on"});
+    return std::nullopt;
+  }
+  if (command.expected != reply.version) {
+    reply.status = command_status::stale;
+    return std::nullopt;
+  }
+  auto& source = current.operator_source;
+  auto read = adapter.read_configuration(source.empty() ? std::nullopt : std::optional(source), command);
+  if (auto* violations = std::get_if<std::vector<routing::violation>>(&read)) {
+    reply.status = command_status::invalid;
+    reply.violations = *violations;
+    return std::nullopt;
+  }
+  auto& next = std::get<platform_protocol::configuration>(read);
+  if (next.table.version <= reply.version) {
+    reply.status = command_status::invalid;
+    reply.violations.push_back({"/version", "is not above the current one"});
+    return std::nullopt;
+  }
+  reply.version = next.table.version;
+  return configuration::next_routing(current, next.source, next.table, digest, change_id);
+}
+
+}  // namespace
+
+platform_operator_api::platform_operator_api(std::shared_ptr<context> shared,
+                                             std::shared_ptr<config_changes> changes,
+                                             std::shared_ptr<storage_directory> directory,
+                                             std::shared_ptr<stall_detector> stalls)
+    : context_(std::move(shared)),
+      changes_(std::move(changes)),
+      directory_(std::move(directory)),
+      stalls_(std::move(stalls)),
+      started_(context_->runtime.now()) {}
+
+command_status platform_operator_api::status_of_unknown() const {
+  bool new_here = context_->runtime.now() - started_ < introduction_time;
+  return new_here ? command_status::unreachable : command_status::unknown_name;
+}
+
+task<command_reply> platform_operator_api::change_record(record_edit wanted) {
+  auto self = shared_from_this();
+  auto shared = self->context_;
+  auto reply = std::make_shared<command_reply>();
+  auto mutate = [wanted, reply](const std::optional<std::string>& text) -> std::optional<std::string> {
+    *reply = command_reply{};
+    auto next = wanted(configuration::record_or_empty(text), *reply);
+    if (!next) return std::nullopt;
+    return to_text(*next);
+  };
+  auto changed = co_await shared->catalog.change(configuration::config_key, mutate,
+                                                 shared->runtime.now() + command_timeout, true);
+  command_reply out = *reply;
+  out.status = combine(changed.status, out.status);
+  if (changed.status != consensus::change_status::committed || !changed.value) co_return out;
+  shared->learn_config(*changed.value, "register");
+  auto chosen = configuration::record_from_text(*changed.value);
+  if (chosen) self->changes_->announce(*chosen);
+  co_return out;
+}
+
+task<command_reply> platform_operator_api::change_routing(platform_protocol::change_command command) {
+  auto self = shared_from_this();
+  auto shared = self->context_;
+  std::string change_id = shared->new_change_id();
+  auto wanted = [shared, command, change_id](const configuration::record& current, command_reply& reply) {
+    return edit_routing(current, command, *shared->platform_adapter, change_id, reply);
+  };
+  auto reply = co_await self->change_record(wanted);
+  if (reply.status == command_status::done)
+    shared->logger.info("routing table chosen", {{"version", reply.version}});
+  co_return reply;
+}
+
+task<command_reply> platform_operator_api::read_routing() {
+  auto shared = context_;
+  auto read =
+      co_await shared->catalog.read(configuration::config_key, shared->runtime.now() + command_timeout);
+  command_reply reply;
+  // Reading writes nothing of its own, so that an unfinished reading is only out of reach.
+  if (!read.known()) {
+    reply.status = command_status::unreachable;
+    co_return reply;
+  }
+  auto content = configuration::record_or_empty(read.value);
+  reply.status = content.operator_source.empty() ? command_status::unknown_name : command_status::done;
+  reply.document = content.operator_source;
+  reply.version = configuration::routing_version(content);
+  co_return reply;
+}
+
+// Whether the zone is known, and whether one would be left, is the operator's affair on this path.
+task<command_reply> platform_operator_api::evacuate(platform_protocol::evacuate_command command,
+                                                    abandonment_check abandoned) {
+  auto self = shared_from_this();
+  auto shared = self->context_;
+  std::string change_id = shared->new_change_id();
+  auto changed = std::make_shared<bool>(false);
+  auto wanted = [command, change_id, abandoned, changed](
+                    const configuration::record& current,
+                    command_reply& reply) -> std::optional<configuration::record> {
+    if (abandoned()) {
+      reply.status = command_status::unreachable;
+      return std::nullopt;
+    }
+    auto zones = configuration::shared_names(current.document, configuration::evacuated_zones);
+    *changed = command.begin ? zones.insert(command.zone).second : zones.erase(command.zone) > 0;
+    if (!*changed) return std::nullopt;
+    json document = current.document;
+    configuration::set_shared_names(document, configuration::evacuated_zones, zones);
+    return configuration::next_revision(current, document, change_id);
+  };
+  auto reply = co_await self->change_record(wanted);
+  if (reply.status == command_status::done && *changed)
+    shared->logger.info(command.begin ? "evacuation begun" : "evacuation ended", {{"zone", command.zone}});
+  co_return reply;
+}
+
+task<command_reply> platform_operator_api::retire(platform_protocol::retire_command command,
+                                                  abandonment_check abandoned) {
+  auto self = shared_from_this();
+  auto shared = self->context_;
+  command_reply unreachable;
+  unreachable.status = command_status::unreachable;
+  auto agreed = co_await reconfiguration::agreed_view(shared->catalog, store_group,
+                                                      shared->runtime.now() + command_timeout / 2);
+  if (!agreed) co_return unreachable;
+  auto listed = co_await self->directory_->agreed(shared->runtime.now() + command_timeout / 2);
+  if (!listed) co_return unreachable;
+  for (auto& voter : agreed->all_voters()) listed->known.insert(voter.node);
+  std::string change_id = shared->new_change_id();
+  auto if_unknown = self->status_of_unknown();
+  bool new_here = if_unknown == command_status::unreachable;
+  auto wanted = [command, storage = *listed, change_id, if_unknown, new_here, abandoned,
+                 copies = agreed->voters.size()](
+                    const configuration::record& current,
+                    command_reply& reply) -> std::optional<configuration::record> {
+    if (abandoned()) {
+      reply.status = command_status::unreachable;
+      return std::nullopt;
+    }
+    auto retiring = configuration::shared_names(current.document, configuration::retiring_storage);
+    // Under way, and asked for again: that is what was asked for.
+    if (retiring.count(command.node)) return std::nullopt;
+    if (!storage.known.count(command.node)) {
+      reply.status = if_unknown;
+      return std::nullopt;
+    }
+    retiring.insert(command.node);
+    std::size_t left = 0;
+    for (auto& name : storage.live) left += retiring.count(name) ? 0 : 1;
+    if (left < copies) {
+      reply.status = new_here ? command_status::unreachable : command_status::too_few;
+      return std::nullopt;
+    }
+    json document = current.document;
+    configuration::set_shared_names(document, configuration::retiring_storage, retiring);
+    return configuration::next_revision(current, document, change_id);
+  };
+  co_return co_await self->change_record(wanted);
+}
+
+task<command_reply> platform_operator_api::retire_status(platform_protocol::retire_status_command command) {
+  auto self = shared_from_this();
+  auto shared = self->context_;
+  command_reply reply;
+  reply.status = command_status::unreachable;
+  auto deadline = shared->runtime.now() + command_timeout;
+  auto read = co_await shared->catalog.read(configuration::config_key, deadline);
+  if (!read.known()) co_return reply;
+  // Read after the configuration: a view from before it could miss a move that has begun since.
+  auto agreed = co_await reconfiguration::agreed_view(shared->catalog, store_group, deadline);
+  if (!agreed) co_return reply;
+  auto content = configuration::record_or_empty(read.value);
+  bool retiring =
+      configuration::shared_names(content.document, configuration::retiring_storage).count(command.node) > 0;
+  bool holds = false;
+  for (auto& voter : agreed->all_voters()) holds = holds || voter.node == command.node;
+  auto member = shared->members.find(command.node);
+  bool known = retiring || holds || (member && member->role == rpc::node_role::store);
+  bool emptied = retiring && !holds && !agreed->joint();
+  if (emptied)
+    reply.status = command_status::done;
+  else
+    reply.status = known ? command_status::rolling : self->status_of_unknown();
+  co_return reply;
+}
+
+task<command_reply> platform_operator_api::execute(platform_protocol::command command,
+                                                   abandonment_check abandoned) {
+  namespace protocol = platform_protocol;
+  if (auto* change = std::get_if<protocol::change_command>(&command))
+    co_return co_await change_routing(std::move(*change));
+  if (std::holds_alternative<protocol::read_command>(command)) co_return co_await read_routing();
+  if (auto* zone = std::get_if<protocol::evacuate_command>(&command))
+    co_return co_await evacuate(*zone, abandoned);
+  if (auto* node = std::get_if<protocol::retire_command>(&command))
+    co_return co_await retire(*node, abandoned);
+  if (auto* node = std::get_if<protocol::retire_status_command>(&command))
+    co_return co_await retire_status(*node);
+  command_reply reply;
+  auto* unknown = std::get_if<protocol::unknown_command>(&command);
+  bool wrong_use = unknown && unknown->known_path;
+  reply.status = wrong_use ? command_status::invalid : command_status::unknown_name;
+  co_return reply;
+}
+
+task<> platform_operator_api::serve(runtime::inbound_request request, gateway::writer out) {
+  auto self = shared_from_this();
+  auto& adapter = *self->context_->platform_adapter;
+  auto command = adapter.read_command(request);
+  auto reply = co_await self->execute(command, self->stalls_->abandonment_of(out));
+  self->context_->logger.count("herontally_commands_total");
+  out->reply(adapter.write_reply(command, reply));
+}
+
+}  // namespace herontally::control_node
--- /dev/null
+++ b/src/control_node/stall_detector.cc
@@ -0,0 +1,39 @@
+#include "control_node/stall_detector.h"
+
+namespace herontally::control_node {
+
+constexpr microseconds heartbeat_period = 100 * millisecond;
+// Callers give up after a second of silence.
+constexpr microseconds max_stall = 800 * millisecond;
+// What came in during a stall has been handed over by then.
+constexpr microseconds recovery_time = max_stall / 4;
+
+abandonment_check stall_detector::abandonment_of(gateway::writer out) {
+  return [weak = weak_from_this(), out] {
+    auto self = weak.lock();
+    return !self || out->closed() || self->stalled();
+  };
+}
+
+bool stall_detector::stalled() const {
+  auto now = context_->runtime.now();
+  return now - last_heartbeat_ > max_stall || now < stall_ended_ + recovery_time;
+}
+
+task<> stall_detector::run() {
+  auto self = shared_from_this();
+  auto shared = self->context_;
+  self->last_heartbeat_ = shared->runtime.now();
+  while (true) {
+    co_await shared->runtime.sleep(heartbeat_period);
+    auto now = shared->runtime.now();
+    auto silence = now - self->last_heartbeat_;
+    if (silence > max_stall) {
+      self->stall_ended_ = now;
+      shared->logger.warn("this process stood still", {{"milliseconds", silence / millisecond}});
+    }
+    self->last_heartbeat_ = now;
+  }
+}
+
+}  // namespace herontally::control_node
--- /dev/null
+++ b/src/control_node/storage_directory.cc
@@ -0,0 +1,44 @@
+#include "control_node/storage_directory.h"
+
+namespace herontally::control_node {
+
+constexpr const char* storage_list_key = "members/storage";
+
+storage_list storage_directory::own_list() const {
+  storage_list list;
+  for (auto& member : context_->members.all())
+    if (member.role == rpc::node_role::store) list.known.insert(member.name);
+  for (auto& member : context_->members.live(rpc::node_role::store)) list.live.insert(member.name);
+  return list;
+}
+
+task<> storage_directory::publish() {
+  auto self = shared_from_this();
+  auto shared = self->context_;
+  auto list = self->own_list();
+  list.epoch = shared->voter_groups_role.epoch();
+  if (list == self->published_) co_return;
+  auto write = [list](const std::optional<std::string>& current) -> std::optional<std::string> {
+    auto before = current ? json::parse(*current, nullptr, false) : json();
+    if (before.is_object() && before.value("epoch", std::int64_t{0}) > list.epoch) return std::nullopt;
+    auto text = json(list).dump();
+    return current == text ? std::nullopt : std::optional<std::string>(text);
+  };
+  auto written =
+      co_await shared->catalog.change(storage_list_key, write, shared->runtime.now() + second, true);
+  if (written.known()) self->published_ = list;
+}
+
+task<std::optional<storage_list>> storage_directory::agreed(microseconds deadline) {
+  auto self = shared_from_this();
+  auto read = co_await self->context_->catalog.read(storage_list_key, deadline);
+  if (!read.known()) co_return std::nullopt;
+  auto document = read.value ? json::parse(*read.value, nullptr, false) : json();
+  auto list = document.is_object() ? document.get<storage_list>() : storage_list{};
+  auto own = self->own_list();
+  list.known.merge(own.known);
+  list.live.merge(own.live);
+  co_return list;
+}
+
+}  // namespace herontally::control_node
--- a/src/hcore/voter_plan.cc
+++ b/src/control_node/voter_plan.cc
@@ -1,9 +1,9 @@
-#include "hcore/voter_plan.h"
+#include "control_node/voter_plan.h"
 
 #include <algorithm>
 #include <map>
 
-namespace herontally::hcore {
+namespace herontally::control_node {
 
 using consensus::view;
 using consensus::voter_info;
@@ -53,14 +53,14 @@
 voter_classes classify(const view& agreed, const std::vector<voter_observation>& observed) {
   voter_classes classes;
   for (auto& each : observed) {
-    bool newest = consensus::contains(agreed.voters, each.place.id);
-    bool holds_records = !agreed.joint() || consensus::contains(agreed.previous_voters, each.place.id);
+    bool newest = consensus::contains(agreed.voters, each.voter.id);
+    bool holds_records = !agreed.joint() || consensus::contains(agreed.previous_voters, each.voter.id);
     if (each.condition == voter_condition::lost) {
-      if (holds_records) classes.lost.push_back(each.place);
+      if (holds_records) classes.lost.push_back(each.voter);
     } else if (each.retiring) {
-      classes.retiring.push_back(each.place);
+      classes.retiring.push_back(each.voter);
     } else {
-      (newest ? classes.staying : classes.leaving).push_back(each.place);
+      (newest ? classes.staying : classes.leaving).push_back(each.voter);
     }
   }
   return classes;
@@ -105,4 +105,4 @@
   return found;
 }
 
-}  // namespace herontally::hcore
+}  // namespace herontally::control_node
--- a/src/hcore/voter_plan.h
+++ b/src/control_node/voter_plan.h
@@ -2,7 +2,7 @@
 #pragma once
 #include "consensus/view.h"
 
-namespace herontally::hcore {
+namespace herontally::control_node {
 
 // The losses that a group has to bear at once with every guarantee kept.
 struct loss_budget {
@@ -18,7 +18,7 @@
 };
 
 struct voter_observation {
-  consensus::voter_info place;
+  consensus::voter_info voter;
   voter_condition condition = voter_condition::present;
   bool retiring = false;
   bool answered = false;  // just now, under whatever identity
@@ -44,4 +44,4 @@
 };
 voter_shortfall shortfall_of(const std::vector<consensus::voter_info>& voters, const loss_budget& budget);
 
-}  // namespace herontally::hcore
+}  // namespace herontally::control_node
--- a/src/engine/listing.cc
+++ b/src/engine/listing.cc
@@ -6,7 +6,7 @@
 constexpr int most_pages = 200;
 
 runtime::task<std::optional<listing>> fetch_listing(runtime::handle runtime, std::string address,
-                                                    std::shared_ptr<const dialect::dialect> dialect,
+                                                    std::shared_ptr<const platform_protocol::adapter> dialect,
                                                     runtime::microseconds timeout) {
   listing found;
   std::string page;
@@ -31,7 +31,7 @@
   co_return std::nullopt;
 }
 
-std::string listing_text(const std::vector<dialect::listed_engine>& engines) {
+std::string listing_text(const std::vector<platform_protocol::listed_engine>& engines) {
   return nlohmann::json(engines).dump();
 }
 
--- a/src/engine/watch.cc
+++ b/src/engine/watch.cc
@@ -15,7 +15,7 @@
 struct watch::state : std::enable_shared_from_this<watch::state> {
   runtime::handle runtime;
   logging::logger logger;
-  names::table numbers;
+  interning::symbol_table numbers;
   std::vector<engine_row> rows;
   std::function<void(const engine_row&)> reset;
   std::function<void()> reported;
@@ -24,16 +24,16 @@
       : runtime(std::move(handle)), logger(std::move(lines)) {}
 
   void take_report(engine_row& row, const std::string& text);
-  static task<> poll(std::shared_ptr<state> self, names::index number);
+  static task<> poll(std::shared_ptr<state> self, interning::symbol number);
 };
 
 watch::watch(runtime::handle runtime, logging::logger logger)
     : state_(std::make_shared<state>(std::move(runtime), std::move(logger))) {}
 std::vector<engine_row>& watch::rows() { return state_->rows; }
-engine_row& watch::row(names::index number) { return state_->rows[number]; }
+engine_row& watch::row(interning::symbol number) { return state_->rows[number]; }
 void watch::on_reset(std::function<void(const engine_row&)> handler) { state_->reset = std::move(handler); }
 void watch::on_report(std::function<void()> handler) { state_->reported = std::move(handler); }
-void watch::failed(names::index number) { state_->rows[number].answers = false; }
+void watch::failed(interning::symbol number) { state_->rows[number].answers = false; }
 
 void watch::start() {
   state_->started = true;
@@ -144,7 +144,7 @@
   row.reported_at = runtime.now();
 }
 
-task<> watch::state::poll(std::shared_ptr<state> self, names::index number) {
+task<> watch::state::poll(std::shared_ptr<state> self, interning::symbol number) {
   while (true) {
     auto begun = self->runtime.now();
     std::string address = self->rows[number].address;
--- a/src/engine/watch.h
+++ b/src/engine/watch.h
@@ -1,13 +1,13 @@
 // The engines as the platform lists them and as they report themselves.
 #pragma once
+#include "interning/symbol_table.h"
 #include "logging/logging.h"
-#include "names/names.h"
 #include "runtime/runtime.h"
 
 namespace herontally::engine {
 
 struct engine_row {
-  names::index number = 0;
+  interning::symbol number = 0;
   std::string name, kind, partner, serves, address, zone, weights;
   bool listed = false, leaving = false;    // by the platform
   bool answers = false, draining = false;  // by itself
@@ -29,13 +29,13 @@
   void leaving(const std::vector<std::string>& names);
   void start();
   std::vector<engine_row>& rows();
-  engine_row& row(names::index number);
+  engine_row& row(interning::symbol number);
   // Called when an engine began a new life, changed weights, drains or left.
   void on_reset(std::function<void(const engine_row&)> handler);
   // Called when an engine has room again or changed its state.
   void on_report(std::function<void()> handler);
   // A request of ours failed to reach it: it must answer a report before it gets the next one.
-  void failed(names::index number);
+  void failed(interning::symbol number);
 
  private:
   struct state;
--- a/src/forward/attempt.cc
+++ b/src/forward/attempt.cc
@@ -51,7 +51,7 @@
   return request;
 }
 
-void door::state::note_failure(const exchange& one, names::index engine,
+void door::state::note_failure(const exchange& one, interning::symbol engine,
                                const runtime::http_failure& failure) {
   engines.failed(engine, !failure.sent, runtime.now());
   bool on_idle_connection = failure.sent && !failure.garbled && failure.idle_before >= 0;
@@ -94,7 +94,7 @@
   if (first && !one->gone) {
     auto* head = std::get_if<runtime::http_head>(&*first);
     if (head) {
-      auto terms = self->speech->read_answer(head->status, head->headers);
+      auto terms = self->speech->read_response(head->status, head->headers);
       one->offered = true;
       bool promised = terms.not_run || head->status == 421;
       bool success = head->status >= 200 && head->status < 300;
@@ -157,7 +157,7 @@
     if (std::holds_alternative<runtime::http_failure>(*next)) co_return attempt_end::unknown;
     if (auto* piece = std::get_if<runtime::http_piece>(&*next)) response.body += piece->bytes;
   }
-  auto terms = self->speech->read_answer(status, response.headers);
+  auto terms = self->speech->read_response(status, response.headers);
   bool success = status >= 200 && status < 300;
   // A success counts only under the engine's stamp; these statuses would promise what nobody promised.
   bool promise = status == 429 || status == 503 || status == 408;
--- a/src/forward/door.cc
+++ b/src/forward/door.cc
@@ -4,8 +4,9 @@
 
 namespace herontally::forward {
 
-door::door(runtime::handle runtime, logging::logger logger, std::shared_ptr<const dialect::dialect> speech,
-           ledger::programs programs, door_options choice)
+door::door(runtime::handle runtime, logging::logger logger,
+           std::shared_ptr<const platform_protocol::adapter> speech, ledger::programs programs,
+           door_options choice)
     : state_(std::make_shared<state>(runtime, logger, std::move(speech), std::move(programs),
                                      std::move(choice))) {}
 
@@ -36,7 +37,7 @@
 void door::close() { state_->closed = true; }
 std::int64_t door::under_way() const { return state_->under_way; }
 
-surroundings door::state::around() const {
+planning_context door::state::context() const {
   return {table, evacuated, choice.zone, nodes, group, runtime.now(), runtime.wall()};
 }
 
@@ -48,7 +49,7 @@
   response.status = status;
   response.headers["Content-Type"] = "application/json";
   response.body = nlohmann::json{{"error", why}}.dump() + "\n";
-  if (come_back > 0) speech->come_back(response.headers, come_back);
+  if (come_back > 0) speech->set_retry_after(response.headers, come_back);
   one->out->reply(std::move(response));
 }
 
--- a/src/forward/door.h
+++ b/src/forward/door.h
@@ -1,10 +1,10 @@
 // Takes clients' requests by the routing table, sends each to an engine unchanged, and its answer back.
 #pragma once
-#include "dialect/dialect.h"
 #include "forward/cold_share.h"
 #include "gateway/http.h"
 #include "ledger/programs.h"
 #include "logging/logging.h"
+#include "platform_protocol/adapter.h"
 #include "runtime/runtime.h"
 
 namespace herontally::forward {
@@ -18,8 +18,9 @@
 
 class door {
  public:
-  door(runtime::handle runtime, logging::logger logger, std::shared_ptr<const dialect::dialect> speech,
-       ledger::programs programs, door_options choice);
+  door(runtime::handle runtime, logging::logger logger,
+       std::shared_ptr<const platform_protocol::adapter> speech, ledger::programs programs,
+       door_options choice);
   // What is in force from now on.
   void routing(routing::table table, std::set<std::string> evacuated);
   void engines(const std::string& list, const std::vector<std::string>& leaving);
--- a/src/forward/door_state.h
+++ b/src/forward/door_state.h
@@ -17,7 +17,7 @@
 struct exchange {
   runtime::inbound_request request;
   gateway::writer out;
-  dialect::request_terms terms;
+  platform_protocol::request_metadata terms;
   routing::route route;  // as the table had it on arrival; a later table is asked for anew at each attempt
   routing::service service;
   microseconds arrived = 0, deadline = 0;
@@ -46,7 +46,7 @@
 struct door::state : std::enable_shared_from_this<door::state> {
   runtime::handle runtime;
   logging::logger logger;
-  std::shared_ptr<const dialect::dialect> speech;
+  std::shared_ptr<const platform_protocol::adapter> speech;
   ledger::programs programs;
   door_options choice;
   routing::table table;
@@ -58,14 +58,14 @@
   bool leaving = false, closed = false, routed = false;
   waiting_list room;  // requests that wait for an engine
 
-  state(runtime::handle handle, logging::logger lines, std::shared_ptr<const dialect::dialect> from,
+  state(runtime::handle handle, logging::logger lines, std::shared_ptr<const platform_protocol::adapter> from,
         ledger::programs ledger, door_options chosen)
       : runtime(handle),
         logger(lines),
         speech(std::move(from)),
         programs(std::move(ledger)),
         choice(std::move(chosen)) {}
-  surroundings around() const;
+  planning_context context() const;
   void refuse(const exchange_pointer& one, int status, const std::string& why, std::int64_t come_back = 0);
   void wake();
   task<bool> wait_for_room(microseconds until, std::int64_t urgency);
@@ -80,7 +80,7 @@
   task<attempt_end> pass_whole(exchange_pointer one, std::shared_ptr<runtime::http_stream> stream, int status,
                                headers answer);
   runtime::http_request request_for(const exchange& one, const plan& made) const;
-  void note_failure(const exchange& one, names::index engine, const runtime::http_failure& failure);
+  void note_failure(const exchange& one, interning::symbol engine, const runtime::http_failure& failure);
   task<> settle(exchange_pointer one);
 };
 
--- a/src/forward/plan.cc
+++ b/src/forward/plan.cc
@@ -5,7 +5,8 @@
 
 namespace herontally::forward {
 
-std::vector<std::string> part_keys(const dialect::request_terms& terms, const routing::route& route) {
+std::vector<std::string> part_keys(const platform_protocol::request_metadata& terms,
+                                   const routing::route& route) {
   std::vector<std::string> keys;
   // The model stands in front: what was computed under one model's weights is nothing to another.
   std::string chain = terms.model;
@@ -30,7 +31,7 @@
   return nullptr;
 }
 
-static std::int64_t tokens_before(const dialect::request_terms& terms, std::size_t parts) {
+static std::int64_t tokens_before(const platform_protocol::request_metadata& terms, std::size_t parts) {
   std::int64_t tokens = 0;
   if (terms.parts.empty()) return static_cast<std::int64_t>(parts);
   for (std::size_t position = 0; position < parts && position < terms.parts.size(); ++position)
@@ -38,18 +39,18 @@
   return tokens;
 }
 
-std::variant<plan, unplanned> make_plan(const subject& asked, roster& engines, const surroundings& around,
-                                        std::mt19937_64& random) {
+std::variant<plan, unplanned> make_plan(const subject& asked, roster& engines,
+                                        const planning_context& context, std::mt19937_64& random) {
   plan made;
-  made.version = around.table.version;
+  made.version = context.table.version;
   made.attempt = asked.attempt;
   made.parts = part_keys(asked.terms, asked.route);
   auto prompt = tokens_before(asked.terms, made.parts.size());
-  auto all = engines.candidates(asked.service, around.evacuated, around.zone, around.group, around.wall,
-                                prompt, around.now);
+  auto all = engines.candidates(asked.service, context.evacuated, context.zone, context.group, context.wall,
+                                prompt, context.now);
   for (auto& each : all)
     each.cached_blocks = static_cast<std::size_t>(
-        tokens_before(asked.terms, engines.kept().leading(each.number, made.parts, around.now)));
+        tokens_before(asked.terms, engines.kept().leading(each.number, made.parts, context.now)));
   placement::question question;
   // Lengths are known by part, so that a block is one token here.
   question.block_tokens = 1;
@@ -58,7 +59,7 @@
   question.most_at_once = std::numeric_limits<std::int64_t>::max();
   // All nodes together stay under the engine's cap on connections, also while some more are being added.
   auto connections =
-      std::max<std::int64_t>(2, asked.service.connections / (std::max<std::int64_t>(1, around.nodes) + 2));
+      std::max<std::int64_t>(2, asked.service.connections / (std::max<std::int64_t>(1, context.nodes) + 2));
   for (auto& each : all) {
     auto capacity = engines.row(each.number).listed.capacity;
     each.live = each.live && each.ours < std::min(capacity, connections);
@@ -68,7 +69,7 @@
   question.avoid = asked.avoid;
   auto choice = placement::place(question, all, random);
   // Full, cold or out of use for a moment: that passes; an engine that leaves or is gone doesn't come back.
-  bool some = engines.usable(asked.service.name, around.evacuated, around.now) > 0;
+  bool some = engines.usable(asked.service.name, context.evacuated, context.now) > 0;
   if (!choice) return some ? unplanned::busy : unplanned::hopeless;
   auto& destination = all[choice->destination];
   made.engine = destination.number;
--- a/src/forward/plan.h
+++ b/src/forward/plan.h
@@ -7,7 +7,7 @@
 
 namespace herontally::forward {
 
-struct surroundings {
+struct planning_context {
   const routing::table& table;
   const std::set<std::string>& evacuated;
   std::string zone;
@@ -19,15 +19,15 @@
 struct subject {
   const routing::route& route;
   const routing::service& service;
-  const dialect::request_terms& terms;
-  std::vector<names::index> avoid;
+  const platform_protocol::request_metadata& terms;
+  std::vector<interning::symbol> avoid;
   int attempt = 1;
 };
 
 struct plan {
   std::int64_t version = 0;  // of the routing table that it was made under
   int attempt = 1;
-  names::index engine = 0;
+  interning::symbol engine = 0;
   std::string engine_id, address;
   std::optional<std::string> source;  // an engine that holds enough more of the prompt
   std::int64_t cached_tokens = 0, unread_tokens = 0, source_tokens = 0;
@@ -40,10 +40,11 @@
 
 // Keys of the prompt's parts, each chained to those before it and to the model: a part counts as kept only
 // behind all that stands before it.
-std::vector<std::string> part_keys(const dialect::request_terms& terms, const routing::route& route);
+std::vector<std::string> part_keys(const platform_protocol::request_metadata& terms,
+                                   const routing::route& route);
 
-std::variant<plan, unplanned> make_plan(const subject& asked, roster& engines, const surroundings& around,
-                                        std::mt19937_64& random);
+std::variant<plan, unplanned> make_plan(const subject& asked, roster& engines,
+                                        const planning_context& context, std::mt19937_64& random);
 
 // One of a route's services, drawn by their shares.
 const routing::service* draw_service(const routing::route& route, const routing::table& table,
--- a/src/forward/request.cc
+++ b/src/forward/request.cc
@@ -81,7 +81,7 @@
 
 task<> door::state::attempts(exchange_pointer one) {
   auto self = shared_from_this();
-  std::vector<names::index> avoid;
+  std::vector<interning::symbol> avoid;
   int offered = 0;
   // Engines that never heard of the request don't count as tries, but there is an end to them too.
   for (int turn = 1; turn <= 6; ++turn) {
@@ -110,7 +110,7 @@
       co_return;
     }
     subject asked{one->route, one->service, one->terms, avoid, turn};
-    auto planned = make_plan(asked, self->engines, self->around(), self->runtime.random());
+    auto planned = make_plan(asked, self->engines, self->context(), self->runtime.random());
     if (auto* why = std::get_if<unplanned>(&planned)) {
       // Held no longer than a part of its aim without an engine: another node may have room.
       auto patience = one->arrived + one->route.aim * millisecond / 5;
--- a/src/forward/roster.cc
+++ b/src/forward/roster.cc
@@ -17,10 +17,10 @@
   for (auto& each : rows_) each.present = false;
   by_service_.clear();
   for (auto& entry : document) {
-    auto listed = entry.get<dialect::listed_engine>();
+    auto listed = entry.get<platform_protocol::listed_engine>();
     auto found = by_id_.find(listed.id);
     if (found == by_id_.end()) {
-      found = by_id_.emplace(listed.id, static_cast<names::index>(rows_.size())).first;
+      found = by_id_.emplace(listed.id, static_cast<interning::symbol>(rows_.size())).first;
       rows_.emplace_back();
       rows_.back().number = found->second;
     }
@@ -117,7 +117,7 @@
   return count;
 }
 
-void roster::sent(names::index number, std::int64_t unread, microseconds now) {
+void roster::sent(interning::symbol number, std::int64_t unread, microseconds now) {
   auto& row = rows_[number];
   ++row.ours;
   row.unread += unread;
@@ -129,11 +129,12 @@
   while (now - row.cold_sends.front() >= second) row.cold_sends.pop_front();
 }
 
-void roster::begun(names::index number, std::int64_t unread) { rows_[number].unread -= unread; }
+void roster::begun(interning::symbol number, std::int64_t unread) { rows_[number].unread -= unread; }
 
-void roster::ended(names::index number) { --rows_[number].ours; }
+void roster::ended(interning::symbol number) { --rows_[number].ours; }
 
-void roster::answered(names::index number, const dialect::answer_terms& terms, microseconds now) {
+void roster::answered(interning::symbol number, const platform_protocol::response_metadata& terms,
+                      microseconds now) {
   auto& row = rows_[number];
   row.failures = 0;
   row.on_trial = false;
@@ -141,7 +142,7 @@
   if (terms.cold_ms > 0) row.cold_until = std::max(row.cold_until, now + terms.cold_ms * millisecond);
 }
 
-void roster::failed(names::index number, bool hard, microseconds now) {
+void roster::failed(interning::symbol number, bool hard, microseconds now) {
   auto& row = rows_[number];
   ++row.failures;
   row.last_answer = -1;
@@ -152,7 +153,7 @@
   row.on_trial = true;
 }
 
-void roster::gone(names::index number) {
+void roster::gone(interning::symbol number) {
   rows_[number].down_until = rows_[number].down_until + 3600 * second;
   kept_.forget(number);
 }
--- a/src/forward/roster.h
+++ b/src/forward/roster.h
@@ -5,9 +5,9 @@
 #include <map>
 #include <set>
 
-#include "dialect/dialect.h"
 #include "forward/cold_share.h"
 #include "placement/placement.h"
+#include "platform_protocol/adapter.h"
 #include "prefix/prefix.h"
 
 namespace herontally::forward {
@@ -16,8 +16,8 @@
 
 // One life of one engine. A row is never used for another engine again.
 struct engine_row {
-  names::index number = 0;
-  dialect::listed_engine listed;
+  interning::symbol number = 0;
+  platform_protocol::listed_engine listed;
   bool present = false;   // on the newest list
   bool leaving = false;   // by its own word, or by a look of our agent's
   std::int64_t ours = 0;  // our requests under way there
@@ -41,7 +41,7 @@
   void list(const std::string& text, microseconds now);
   void leaving(const std::vector<std::string>& ids);
   bool known() const { return known_; }
-  engine_row& row(names::index number) { return rows_[number]; }
+  engine_row& row(interning::symbol number) { return rows_[number]; }
   const std::vector<engine_row>& rows() const { return rows_; }
   prefix::index& kept() { return kept_; }
   // What placement looks at, for one service. `group` and `wall`: see cold_share. `tokens`: of the prompt at
@@ -54,23 +54,24 @@
                      microseconds now) const;
 
   // `unread`: prompt tokens that it is not believed to keep.
-  void sent(names::index number, std::int64_t unread, microseconds now);
+  void sent(interning::symbol number, std::int64_t unread, microseconds now);
   // It has begun to answer, or never will: its prompt waits no more.
-  void begun(names::index number, std::int64_t unread);
-  void ended(names::index number);
-  void answered(names::index number, const dialect::answer_terms& terms, microseconds now);
+  void begun(interning::symbol number, std::int64_t unread);
+  void ended(interning::symbol number);
+  void answered(interning::symbol number, const platform_protocol::response_metadata& terms,
+                microseconds now);
   // `hard`: nothing listens there, or another engine does.
-  void failed(names::index number, bool hard, microseconds now);
+  void failed(interning::symbol number, bool hard, microseconds now);
   // Another life answers at its address.
-  void gone(names::index number);
+  void gone(interning::symbol number);
 
  private:
   static double work(const engine_row& row, microseconds now);
   bool may_take_cold(engine_row& row, const routing::service& service, const node_group& group,
                      microseconds wall, microseconds now);
   std::vector<engine_row> rows_;
-  std::map<std::string, names::index> by_id_;
-  std::map<std::string, std::vector<names::index>> by_service_;
+  std::map<std::string, interning::symbol> by_id_;
+  std::map<std::string, std::vector<interning::symbol>> by_service_;
   prefix::index kept_;
   bool known_ = false;
 };
--- a/src/gateway/http.cc
+++ b/src/gateway/http.cc
@@ -18,10 +18,22 @@
   out->reply({status, std::move(headers), body.dump(-1, ' ', false, json::error_handler_t::replace) + "\n"});
 }
 
-void drop(const writer& out, int status, const std::string& reason, const std::string& ran, int retry_seconds,
-          json extra) {
+static const char* wire_name(executed ran) {
+  switch (ran) {
+    case executed::no:
+      return "no";
+    case executed::unknown:
+      return "unknown";
+    case executed::yes:
+      return "yes";
+  }
+  return "unknown";
+}
+
+void reject(const writer& out, int status, const std::string& reason, executed ran, int retry_seconds,
+            json extra) {
   extra["error"] = reason;
-  extra["ran"] = ran;
+  extra["ran"] = wire_name(ran);
   std::map<std::string, std::string> headers;
   if (retry_seconds > 0) {
     headers["Retry-After"] = std::to_string(retry_seconds);
--- a/src/gateway/plan.cc
+++ b/src/gateway/plan.cc
@@ -7,7 +7,7 @@
 
 std::vector<placement::engine> engines_of(const std::vector<engine::engine_row>& rows,
                                           const std::string& kind, const std::string& partner,
-                                          const std::string& serves, const surroundings& around) {
+                                          const std::string& serves, const planning_context& context) {
   std::vector<placement::engine> engines;
   for (auto& row : rows) {
     if (row.kind != kind || row.partner != partner || row.serves != serves) continue;
@@ -19,14 +19,14 @@
     each.weights = row.weights;
     each.live = row.listed && row.answers;
     each.draining = row.leaving || row.draining;
-    each.evacuated = around.state.evacuated_zones.contains(row.zone);
+    each.evacuated = context.state.evacuated_zones.contains(row.zone);
     each.reported = row.queue + row.running;
     each.queue = row.queue;
     each.unseen = row.unseen;
     each.ours = row.ours;
     each.our_pulls = row.our_pulls;
     each.our_borrows = row.our_borrows;
-    each.age_seconds = static_cast<double>(around.now - row.first_ready) / second;
+    each.age_seconds = static_cast<double>(context.now - row.first_ready) / second;
     engines.push_back(std::move(each));
   }
   return engines;
@@ -44,7 +44,7 @@
   return identity;
 }
 
-static placement::question question_of(const turn_subject& subject, const surroundings& around) {
+static placement::question question_of(const turn_subject& subject, const planning_context& context) {
   placement::question asked;
   asked.weights = subject.model.weights;
   asked.block_tokens = subject.model.block_tokens;
@@ -55,12 +55,12 @@
   asked.pulls_per_lender = subject.model.pulls_per_lender;
   asked.pulls_per_borrower = subject.model.pulls_per_borrower;
   asked.warm_seconds = subject.model.warm_seconds;
-  asked.proxies = around.proxies;
-  asked.rank = around.rank;
-  asked.proxies_before = around.proxies_before;
-  asked.rank_before = around.rank_before;
-  asked.avoid = around.avoid;
-  asked.table = around.state.partners.at(subject.partner).table_of(subject.settings.table);
+  asked.proxies = context.proxies;
+  asked.rank = context.rank;
+  asked.proxies_before = context.proxies_before;
+  asked.rank_before = context.rank_before;
+  asked.avoid = context.avoid;
+  asked.table = context.state.partners.at(subject.partner).table_of(subject.settings.table);
   // A sharing table's lead goes before the model's own.
   asked.min_cached_token_delta = subject.model.min_cached_token_delta;
   auto own = asked.table.min_cached_token_delta.find(subject.model.name);
@@ -83,23 +83,23 @@
       std::min<std::int64_t>(longest_pull_milliseconds, static_cast<std::int64_t>(pull_seconds * 1000));
 }
 
-std::variant<turn_plan, unplanned> plan_turn(const turn_subject& subject, const surroundings& around,
+std::variant<turn_plan, unplanned> plan_turn(const turn_subject& subject, const planning_context& context,
                                              const std::vector<engine::engine_row>& rows,
                                              const prefix::index& held, std::mt19937_64& random) {
   turn_plan plan;
   auto identity = identity_of(subject);
   plan.hashes = prefix::block_hashes(identity, subject.prompt);
-  auto engines = engines_of(rows, "model", subject.partner, subject.model.name, around);
+  auto engines = engines_of(rows, "model", subject.partner, subject.model.name, context);
   for (auto& each : engines) {
-    each.cached_blocks = held.leading(each.number, plan.hashes, around.now);
+    each.cached_blocks = held.leading(each.number, plan.hashes, context.now);
     each.belief = held.belief(each.number);
   }
-  auto asked = question_of(subject, around);
+  auto asked = question_of(subject, context);
   auto made = placement::place(asked, engines, random);
   if (!made) return placement::could_serve(asked, engines) ? unplanned::busy : unplanned::hopeless;
   const auto& destination = engines[made->destination];
-  plan.desired_revision = around.state.revision;
-  plan.attempt = around.attempt;
+  plan.desired_revision = context.state.revision;
+  plan.attempt = context.attempt;
   plan.destination = destination.number;
   plan.destination_name = destination.name;
   plan.destination_blocks = destination.cached_blocks;
@@ -116,24 +116,24 @@
   return plan;
 }
 
-std::optional<call_plan> plan_call(const call_subject& subject, const surroundings& around,
+std::optional<call_plan> plan_call(const call_subject& subject, const planning_context& context,
                                    const std::vector<engine::engine_row>& rows, std::mt19937_64& random) {
-  auto engines = engines_of(rows, "application", subject.partner, subject.route.application, around);
+  auto engines = engines_of(rows, "application", subject.partner, subject.route.application, context);
   placement::question asked;
   asked.most_at_once = subject.application.calls_per_engine;
   asked.warm_seconds = subject.application.warm_seconds;
-  asked.proxies = around.proxies;
-  asked.rank = around.rank;
-  asked.proxies_before = around.proxies_before;
-  asked.rank_before = around.rank_before;
-  asked.avoid = around.avoid;
-  asked.table = around.state.partners.at(subject.partner).table_of(subject.route.table);
+  asked.proxies = context.proxies;
+  asked.rank = context.rank;
+  asked.proxies_before = context.proxies_before;
+  asked.rank_before = context.rank_before;
+  asked.avoid = context.avoid;
+  asked.table = context.state.partners.at(subject.partner).table_of(subject.route.table);
   auto made = placement::place(asked, engines, random);
   if (!made) return std::nullopt;
   const auto& destination = engines[made->destination];
   call_plan plan;
-  plan.desired_revision = around.state.revision;
-  plan.attempt = around.attempt;
+  plan.desired_revision = context.state.revision;
+  plan.attempt = context.attempt;
   plan.destination = destination.number;
   plan.destination_name = destination.name;
   plan.address = destination.address;
--- a/src/hproxy/attempts.cc
+++ b/src/hproxy/attempts.cc
@@ -10,7 +10,7 @@
 bool node::state::could_serve(const std::string& kind, const std::string& partner,
                               const std::string& serves) const {
   for (auto& each :
-       gateway::engines_of(const_cast<state*>(this)->engines.rows(), kind, partner, serves, around({}, 1)))
+       gateway::engines_of(const_cast<state*>(this)->engines.rows(), kind, partner, serves, context({}, 1)))
     if (each.live && !each.draining && !each.evacuated) return true;
   return false;
 }
@@ -21,7 +21,7 @@
   if (waiting == 0) return 0;
   std::int64_t usable = 0;
   for (auto& each :
-       gateway::engines_of(const_cast<state*>(this)->engines.rows(), kind, partner, serves, around({}, 1)))
+       gateway::engines_of(const_cast<state*>(this)->engines.rows(), kind, partner, serves, context({}, 1)))
     usable += each.live && !each.draining && !each.evacuated ? 1 : 0;
   auto model = desired->partners.at(partner).models.find(serves);
   std::int64_t each_engine =
@@ -56,7 +56,7 @@
 constexpr microseconds word_travels = 100 * millisecond;
 constexpr microseconds longest_linger = 2 * second;
 
-task<> node::state::linger(seat taken, names::index engine) {
+task<> node::state::linger(seat taken, interning::symbol engine) {
   auto self = shared_from_this();
   auto begun = self->runtime.now();
   while (self->engines.row(engine).report_asked < begun + word_travels &&
--- a/src/hproxy/calls.cc
+++ b/src/hproxy/calls.cc
@@ -16,10 +16,11 @@
 
 std::optional<gateway::call_plan> node::state::plan_attempt(const call_request& incoming,
                                                             const call_terms& terms,
-                                                            std::vector<names::index> avoid, int attempt) {
+                                                            std::vector<interning::symbol> avoid,
+                                                            int attempt) {
   gateway::call_subject subject{incoming.partner,      incoming.key, incoming.request_id, incoming.body,
                                 incoming.content_type, terms.route,  terms.application,   incoming.deadline};
-  return gateway::plan_call(subject, around(std::move(avoid), attempt), engines.rows(), runtime.random());
+  return gateway::plan_call(subject, context(std::move(avoid), attempt), engines.rows(), runtime.random());
 }
 
 // Between a plan and its carrying out a door may have slept, or a change may have come.
@@ -41,13 +42,14 @@
                         out};
   auto terms = self->terms_of(incoming);
   if (!terms) {
-    gateway::drop(out, 404, "no such route, or its application is gone", "no");
+    gateway::reject(out, 404, "no such route, or its application is gone", gateway::executed::no);
     co_return;
   }
   auto key = request.headers.find("idempotency-key");
   bool keyed = key != request.headers.end() && !key->second.empty() && key->second.size() <= 256;
   if (terms->route.effectful && !keyed) {
-    gateway::drop(out, 400, "an Idempotency-Key of 1 to 256 bytes is needed on this route", "no");
+    gateway::reject(out, 400, "an Idempotency-Key of 1 to 256 bytes is needed on this route",
+                    gateway::executed::no);
     co_return;
   }
   if (keyed) incoming.key = key->second;
@@ -92,7 +94,7 @@
   return type == response.headers.end() ? "application/json" : type->second;
 }
 
-seat node::state::occupy(names::index number) {
+seat node::state::occupy(interning::symbol number) {
   ++engines.row(number).unseen;
   ++engines.row(number).ours;
   // The watch is a handle: the copy stays good after the node is gone.
@@ -101,7 +103,7 @@
 
 task<> node::state::plain_call(call_request incoming) {
   auto self = shared_from_this();
-  std::vector<names::index> avoid;
+  std::vector<interning::symbol> avoid;
   for (int attempt = 1; attempt <= 3 && self->fresh(); ++attempt) {
     auto terms = self->terms_of(incoming);
     if (!terms) break;
@@ -123,8 +125,9 @@
     if (std::holds_alternative<runtime::http_failure>(result)) self->engines.failed(plan->destination);
   }
   self->refused("engines failed");
-  gateway::drop(incoming.out, 503, "no engine answered the call", avoid.empty() ? "no" : "unknown",
-                self->come_back(1));
+  gateway::reject(incoming.out, 503, "no engine answered the call",
+                  avoid.empty() ? gateway::executed::no : gateway::executed::unknown,
+                  self->retry_after_seconds(1));
 }
 
 }  // namespace herontally::hproxy
--- a/src/hproxy/effectful.cc
+++ b/src/hproxy/effectful.cc
@@ -15,13 +15,13 @@
   self->refused(why);
   // "no" would be a false word if the receipts can't be read, or if this key has run with another body.
   bool certain = known.read && !begun_before;
-  gateway::drop(incoming.out, 503, why, certain ? "no" : "unknown", self->come_back(1),
-                {{"request_id", incoming.request_id}});
+  gateway::reject(incoming.out, 503, why, certain ? gateway::executed::no : gateway::executed::unknown,
+                  self->retry_after_seconds(1), {{"request_id", incoming.request_id}});
 }
 
 task<> node::state::effectful_call(call_request incoming, std::string record_key) {
   auto self = shared_from_this();
-  std::vector<names::index> avoid;
+  std::vector<interning::symbol> avoid;
   auto out = incoming.out;
   std::string digest = ledger::digest_of(incoming.body);
   int attempt = 1;
@@ -42,7 +42,7 @@
     auto begun = co_await self->book.begin_call(record_key, first, self->runtime.now() + ledger_patience);
     using end = ledger::book::call_end;
     if (begun.end == end::mismatch) {
-      gateway::drop(out, 422, "the Idempotency-Key was used with another body", "no");
+      gateway::reject(out, 422, "the Idempotency-Key was used with another body", gateway::executed::no);
       co_return;
     }
     if (begun.end == end::found) {
@@ -56,8 +56,8 @@
     if (begun.end != end::mine) {
       // What other requests with this key did can't be seen now, so nothing is promised.
       self->refused("ledger");
-      gateway::drop(out, 503, "the receipts can't be reached by a majority; the call may have run", "unknown",
-                    self->come_back(1));
+      gateway::reject(out, 503, "the receipts can't be reached by a majority; the call may have run",
+                      gateway::executed::unknown, self->retry_after_seconds(1));
       co_return;
     }
     ledger::call_record last = begun.record;
@@ -67,7 +67,8 @@
       last.state = "not-run";
       bool settled = co_await self->book.end_call(record_key, last, self->runtime.now() + ledger_patience);
       if (!settled) {
-        gateway::drop(out, 503, "the receipts can't be reached by a majority", "unknown", self->come_back(1));
+        gateway::reject(out, 503, "the receipts can't be reached by a majority", gateway::executed::unknown,
+                        self->retry_after_seconds(1));
         co_return;
       }
       --attempt;
@@ -96,7 +97,7 @@
       last.status = outcome.response.status;
       last.content_type = type_of(outcome.response);
       last.answer = outcome.response.body;
-      last.keep_until = self->runtime.wall() + terms->route.receipt_seconds * second;
+      last.keep_until = self->runtime.wall() + terms->route.answer_retention_seconds * second;
       bool kept = co_await self->book.end_call(record_key, last, self->runtime.now() + ledger_patience);
       self->logger.count("herontally_calls_total{how=\"done\"}");
       // The answer is true either way; without a kept receipt a repeat will be told "may have run".
@@ -106,8 +107,8 @@
     if (outcome.end == call_outcome::what::unknown) {
       self->logger.count("herontally_calls_total{how=\"unknown\"}");
       self->refused("answer lost");
-      gateway::drop(out, 502, "the engine's answer is lost; the call may have run", "unknown",
-                    self->come_back(1));
+      gateway::reject(out, 502, "the engine's answer is lost; the call may have run",
+                      gateway::executed::unknown, self->retry_after_seconds(1));
       co_return;
     }
     if (std::holds_alternative<runtime::http_failure>(result)) self->engines.failed(plan->destination);
@@ -116,13 +117,14 @@
     self->logger.count("herontally_calls_total{how=\"not run\"}");
     if (!agreed) {
       // Not agreed, not promised.
-      gateway::drop(out, 503, "the engine could not be reached", "unknown", self->come_back(1));
+      gateway::reject(out, 503, "the engine could not be reached", gateway::executed::unknown,
+                      self->retry_after_seconds(1));
       co_return;
     }
   }
   self->refused("engines failed");
-  gateway::drop(out, 503, "no engine took the call", "no", self->come_back(1),
-                {{"request_id", incoming.request_id}});
+  gateway::reject(out, 503, "no engine took the call", gateway::executed::no, self->retry_after_seconds(1),
+                  {{"request_id", incoming.request_id}});
 }
 
 // A later request with the same key: the stored answer, or what can honestly be said.
@@ -137,7 +139,7 @@
       found.status = asked->status;
       found.content_type = type_of(*asked);
       found.answer = asked->body;
-      found.keep_until = self->runtime.wall() + terms->route.receipt_seconds * second;
+      found.keep_until = self->runtime.wall() + terms->route.answer_retention_seconds * second;
       co_await self->book.end_call(record_key, found, self->runtime.now() + ledger_patience);
     }
   }
@@ -148,14 +150,14 @@
   }
   if (found.state == "gone") {
     self->refused("receipt gone");
-    gateway::drop(out, 410, "the call ran; its answer's keeping time is over", "yes");
+    gateway::reject(out, 410, "the call ran; its answer's keeping time is over", gateway::executed::yes);
     co_return;
   }
   bool never = found.state == "not-run";
   self->refused("call open");
-  gateway::drop(out, 409,
-                never ? "the call was agreed not to run" : "the call was started before and may have run",
-                never ? "no" : "unknown", self->come_back(1));
+  gateway::reject(out, 409,
+                  never ? "the call was agreed not to run" : "the call was started before and may have run",
+                  never ? gateway::executed::no : gateway::executed::unknown, self->retry_after_seconds(1));
 }
 
 }  // namespace herontally::hproxy
--- a/src/hproxy/looks.cc
+++ b/src/hproxy/looks.cc
@@ -6,7 +6,8 @@
 constexpr microseconds ledger_patience = 2500 * millisecond;
 
 // Asks the back end whether it has an outcome for the key; asking runs nothing.
-task<std::optional<runtime::http_response>> node::state::ask_outcome(std::string name, desired::route route,
+task<std::optional<runtime::http_response>> node::state::ask_outcome(std::string name,
+                                                                     configuration::route route,
                                                                      std::string key) {
   auto self = shared_from_this();
   if (route.outcome_path.empty()) co_return std::nullopt;
@@ -27,14 +28,14 @@
 
 task<> node::state::look(gateway::writer out, std::string partner, std::string program) {
   auto self = shared_from_this();
-  if (!names::is_plain(program) || !self->desired->partners.at(partner).find_program(program)) {
-    gateway::drop(out, 404, "no such program", "no");
+  if (!interning::is_plain_name(program) || !self->desired->partners.at(partner).find_program(program)) {
+    gateway::reject(out, 404, "no such program", gateway::executed::no);
     co_return;
   }
-  desired::program settings = *self->desired->partners.at(partner).find_program(program);
+  configuration::program settings = *self->desired->partners.at(partner).find_program(program);
   auto now = co_await self->book.look(partner, program, self->runtime.now() + ledger_patience);
   if (!now) {
-    gateway::drop(out, 503, "the ledger can't be reached by a majority", "no", 1);
+    gateway::reject(out, 503, "the ledger can't be reached by a majority", gateway::executed::no, 1);
     co_return;
   }
   json endings = json::array();
--- a/src/hproxy/node.cc
+++ b/src/hproxy/node.cc
@@ -85,7 +85,7 @@
 
 bool node::state::fresh() const {
   if (broken("freshness")) return desired.has_value();
-  return desired && fresh_at >= 0 && runtime.now() - fresh_at <= news::longest_age;
+  return desired && fresh_at >= 0 && runtime.now() - fresh_at <= config_distribution::max_config_age;
 }
 
 bool node::state::is_gone(const std::string& owner, std::int64_t life) const {
@@ -117,8 +117,8 @@
   };
   rank = place_in(desired->edges);
   proxies = std::max<std::int64_t>(1, static_cast<std::int64_t>(desired->edges.size()));
-  rank_before = place_in(desired->edges_before);
-  proxies_before = static_cast<std::int64_t>(desired->edges_before.size());
+  rank_before = place_in(desired->previous_edges);
+  proxies_before = static_cast<std::int64_t>(desired->previous_edges.size());
 }
 
 void node::state::take_news(const rpc::config_update_reply& reply, microseconds asked) {
@@ -132,9 +132,9 @@
   bool changed = false;
   // A lower revision never replaces a higher one.
   if (!reply.config.empty() && reply.revision > revision) {
-    auto content = desired::from_text(reply.config);
+    auto content = configuration::record_from_text(reply.config);
     if (content) {
-      desired = desired::state_of(*content);
+      desired = configuration::snapshot_of(*content);
       revision = content->revision;
       changed = true;
       trace.push_back({revision, "in force", "agent", runtime.wall()});
@@ -181,7 +181,7 @@
   logger.count("herontally_drops_total{reason=\"" + reason + "\"}");
 }
 
-int node::state::come_back(std::int64_t least) const {
+int node::state::retry_after_seconds(std::int64_t least) const {
   // The more that wait, the wider apart: what a second can serve is about what waits for a second.
   auto crowd = static_cast<std::uint64_t>(waiting * 4 / std::max<std::int64_t>(1, place.queue));
   auto spread = static_cast<std::uint64_t>(least) + 1 + crowd;
@@ -189,7 +189,7 @@
       std::min<std::int64_t>(30, least + static_cast<std::int64_t>(runtime.draw(spread))));
 }
 
-gateway::surroundings node::state::around(std::vector<names::index> avoid, int attempt) const {
+gateway::planning_context node::state::context(std::vector<interning::symbol> avoid, int attempt) const {
   return {*desired, proxies, rank, proxies_before, rank_before, runtime.now(), std::move(avoid), attempt};
 }
 
@@ -198,8 +198,8 @@
   if (requests >= place.requests || by_peer[host] >= desired->limit.requests_per_client) {
     bool own = requests < place.requests;
     refused(own ? "client limit" : "request limit");
-    gateway::drop(out, 429, own ? "too many requests of this client" : "too many requests", "no",
-                  come_back(1));
+    gateway::reject(out, 429, own ? "too many requests of this client" : "too many requests",
+                    gateway::executed::no, retry_after_seconds(1));
     return std::nullopt;
   }
   ++requests;
@@ -228,18 +228,19 @@
   bool calls = known && parts.size() == 5 && parts[3] == "calls" && request.method == "POST";
   bool looks = known && parts.size() == 5 && parts[3] == "programs" && request.method == "GET";
   if (!turns && !calls && !looks) {
-    gateway::drop(out, 404, "no such page", "no");
+    gateway::reject(out, 404, "no such page", gateway::executed::no);
     co_return;
   }
   // A change may have passed us by: better no request than one under a state that is no longer in force.
   if (!self->fresh() || self->leaving) {
     self->refused(self->leaving ? "leaving" : "outdated");
-    gateway::drop(out, 503, self->leaving ? "this door is closing" : "the desired state may be outdated here",
-                  "no", self->come_back(1));
+    gateway::reject(out, 503,
+                    self->leaving ? "this door is closing" : "the desired state may be outdated here",
+                    gateway::executed::no, self->retry_after_seconds(1));
     co_return;
   }
   if (!self->desired->partners.count(parts[2])) {
-    gateway::drop(out, 404, "no such partner", "no");
+    gateway::reject(out, 404, "no such partner", gateway::executed::no);
     co_return;
   }
   auto seat = self->take_seat(request.peer, out);
--- a/src/hproxy/node.h
+++ b/src/hproxy/node.h
@@ -1,7 +1,7 @@
 // An edge machine's door: takes callers' requests, asks the ledger, plans, carries out.
 #pragma once
-#include "dialect/dialect.h"
 #include "logging/logging.h"
+#include "platform_protocol/adapter.h"
 #include "runtime/runtime.h"
 #include "settings/settings.h"
 
@@ -9,7 +9,7 @@
 
 // How requests are taken where an adapter gives the surroundings' words.
 struct adapted {
-  std::shared_ptr<const dialect::dialect> speech;
+  std::shared_ptr<const platform_protocol::adapter> speech;
   // A lead in cached tokens from which a source is named; nothing: no source is.
   std::optional<std::int64_t> min_cached_token_delta;
 };
--- a/src/hproxy/node_state.h
+++ b/src/hproxy/node_state.h
@@ -1,11 +1,13 @@
 // Internal to hproxy.
 #pragma once
+#include "config_distribution/change_trace.h"
+#include "config_distribution/config_store.h"
+#include "config_distribution/freshness.h"
 #include "forward/door.h"
 #include "gateway/http.h"
 #include "gateway/plan.h"
 #include "hproxy/node.h"
 #include "ledger/book.h"
-#include "news/board.h"
 
 namespace herontally::hproxy {
 
@@ -47,8 +49,8 @@
 };
 // What the desired state says of a call's route.
 struct call_terms {
-  desired::route route;
-  desired::application application;
+  configuration::route route;
+  configuration::application application;
 };
 
 // What one turn has given out so far, over all its attempts.
@@ -73,7 +75,7 @@
   std::optional<forward::door> door;  // clients' requests by the routing table, where there is an adapter
   engine::watch engines;
   prefix::index held;
-  std::optional<desired::state> desired;
+  std::optional<configuration::snapshot> desired;
   std::int64_t revision = 0, engines_epoch = 0, engines_sequence = 0;
   microseconds fresh_at = -1;
   std::int64_t incarnation = 0;
@@ -101,11 +103,11 @@
   void count_doors();
   void refused(const std::string& reason);
   // When to come back, in seconds: spread, so that a crowd that was dropped at once doesn't return as one.
-  int come_back(std::int64_t least) const;
+  int retry_after_seconds(std::int64_t least) const;
   task<> feed();
   task<> serve_request(runtime::inbound_request request, gateway::writer out);
   std::optional<seat> take_seat(const std::string& peer, const gateway::writer& out);
-  gateway::surroundings around(std::vector<names::index> avoid, int attempt) const;
+  gateway::planning_context context(std::vector<interning::symbol> avoid, int attempt) const;
 
   // Turns.
   task<> turn(runtime::inbound_request request, gateway::writer out, std::string partner,
@@ -126,19 +128,19 @@
   task<bool> wait_for_room(microseconds deadline);
   void wake_room();
   // What was given up still counts at its engine until a report from after that has come.
-  task<> linger(seat taken, names::index engine);
+  task<> linger(seat taken, interning::symbol engine);
 
   // Calls.
   task<> call(runtime::inbound_request request, gateway::writer out, std::string partner, std::string route);
   std::optional<call_terms> terms_of(const call_request& incoming) const;
   std::optional<gateway::call_plan> plan_attempt(const call_request& incoming, const call_terms& terms,
-                                                 std::vector<names::index> avoid, int attempt);
+                                                 std::vector<interning::symbol> avoid, int attempt);
   bool still_good(const gateway::call_plan& plan);
-  seat occupy(names::index number);
+  seat occupy(interning::symbol number);
   task<> not_begun(call_request incoming, std::string record, std::string why);
   task<> effectful_call(call_request incoming, std::string record);
   task<> plain_call(call_request incoming);
-  task<std::optional<runtime::http_response>> ask_outcome(std::string engine, desired::route route,
+  task<std::optional<runtime::http_response>> ask_outcome(std::string engine, configuration::route route,
                                                           std::string key);
   task<> answer_found(ledger::call_record found, call_request incoming, std::string record);
   task<> look(gateway::writer out, std::string partner, std::string program);
--- a/src/hproxy/streams.cc
+++ b/src/hproxy/streams.cc
@@ -18,8 +18,9 @@
   if (!done.started && how != "complete") {
     refused("not finished");
     // Only where no engine has heard of the turn is it certain that nothing ran.
-    gateway::drop(incoming.out, 503, fields.value("reason", how), done.sent_on ? "unknown" : "no",
-                  come_back(1), {{"turn", incoming.turn}, {"request_id", incoming.request_id}});
+    gateway::reject(incoming.out, 503, fields.value("reason", how),
+                    done.sent_on ? gateway::executed::unknown : gateway::executed::no, retry_after_seconds(1),
+                    {{"turn", incoming.turn}, {"request_id", incoming.request_id}});
     return;
   }
   if (!done.started)
@@ -35,8 +36,8 @@
   auto self = shared_from_this();
   auto content = co_await self->book.content(before.digest, deadline);
   if (!content) {
-    gateway::drop(incoming.out, 503, "the turn is done, but its outcome can't be read now", "unknown",
-                  self->come_back(1));
+    gateway::reject(incoming.out, 503, "the turn is done, but its outcome can't be read now",
+                    gateway::executed::unknown, self->retry_after_seconds(1));
     co_return;
   }
   self->give_again(incoming, *content);
--- a/src/hproxy/turns.cc
+++ b/src/hproxy/turns.cc
@@ -10,22 +10,25 @@
                          std::string program) {
   auto self = shared_from_this();
   auto& section = self->desired->partners.at(partner);
-  const auto* settings = names::is_plain(program) ? section.find_program(program) : nullptr;
+  const auto* settings = interning::is_plain_name(program) ? section.find_program(program) : nullptr;
   if (!settings) {
-    gateway::drop(out, 404, "no such program", "no");
+    gateway::reject(out, 404, "no such program", gateway::executed::no);
     co_return;
   }
   auto body = json::parse(request.body, nullptr, false);
   if (!body.is_object() || !body.contains("prompt") || !body["prompt"].is_string()) {
-    gateway::drop(out, 400, "the body must be a JSON object with a string \"prompt\"", "no");
+    gateway::reject(out, 400, "the body must be a JSON object with a string \"prompt\"",
+                    gateway::executed::no);
     co_return;
   }
-  bool turn_fits = !body.contains("turn") || (body["turn"].is_string() && names::is_plain(body["turn"]));
+  bool turn_fits =
+      !body.contains("turn") || (body["turn"].is_string() && interning::is_plain_name(body["turn"]));
   bool tokens_fit = !body.contains("max_tokens") ||
                     (body["max_tokens"].is_number_integer() && body["max_tokens"].get<std::int64_t>() >= 1);
   if (!turn_fits || !tokens_fit) {
-    gateway::drop(out, 400,
-                  turn_fits ? "max_tokens must be a whole number from 1" : "turn must be a plain name", "no");
+    gateway::reject(out, 400,
+                    turn_fits ? "max_tokens must be a whole number from 1" : "turn must be a plain name",
+                    gateway::executed::no);
     co_return;
   }
   turn_request incoming;
@@ -40,15 +43,16 @@
   incoming.out = out;
   if (!self->could_serve("model", partner, settings->model)) {
     self->refused("no engine");
-    gateway::drop(out, 503, "no engine of the model can take turns", "no", self->come_back(2));
+    gateway::reject(out, 503, "no engine of the model can take turns", gateway::executed::no,
+                    self->retry_after_seconds(2));
     co_return;
   }
   auto wait = self->expected_wait_seconds("model", partner, settings->model);
   if (self->waiting >= self->place.queue || static_cast<double>(wait) > self->desired->limit.queue_seconds) {
     // It would be given up later; so it is given up now.
     self->refused("overload");
-    gateway::drop(out, 429, "all engines of the model are busy", "no",
-                  self->come_back(std::max<std::int64_t>(1, wait)));
+    gateway::reject(out, 429, "all engines of the model are busy", gateway::executed::no,
+                    self->retry_after_seconds(std::max<std::int64_t>(1, wait)));
     co_return;
   }
   co_await self->run_turn(std::move(incoming));
@@ -62,7 +66,7 @@
 }
 
 // The tokens that the chain names, as they were, between the program's shared prefix and the new prompt.
-static std::vector<std::int64_t> prompt_of(const desired::program& settings,
+static std::vector<std::int64_t> prompt_of(const configuration::program& settings,
                                            const std::vector<ledger::turn_content>& turns,
                                            const std::string& asked) {
   auto prompt = prefix::tokenize(settings.shared_prefix);
@@ -78,7 +82,8 @@
 task<> node::state::run_turn(turn_request incoming) {
   auto self = shared_from_this();
   auto out = incoming.out;
-  desired::program settings = *self->desired->partners.at(incoming.partner).find_program(incoming.program);
+  configuration::program settings =
+      *self->desired->partners.at(incoming.partner).find_program(incoming.program);
   auto begun = self->runtime.now();
   ledger::turn_wish wish;
   wish.partner = incoming.partner;
@@ -96,25 +101,27 @@
       break;
     case ledger::open_end::busy:
       self->refused("turn open");
-      gateway::drop(out, 409, "another turn of the program is open", "no", 1);
+      gateway::reject(out, 409, "another turn of the program is open", gateway::executed::no, 1);
       co_return;
     case ledger::open_end::spent:
       self->refused("budget spent");
-      gateway::drop(out, 402, "the program's budget is spent", "no", 0,
-                    {{"spent", opened.now.spent}, {"request_id", incoming.request_id}});
+      gateway::reject(out, 402, "the program's budget is spent", gateway::executed::no, 0,
+                      {{"spent", opened.now.spent}, {"request_id", incoming.request_id}});
       co_return;
     case ledger::open_end::ended:
       co_await self->replay(incoming, *opened.before, begun + 2 * ledger_patience);
       co_return;
     case ledger::open_end::full:
       self->refused("disks full");
-      gateway::drop(out, 503, "the ledger's disks have no room for new work", "no", self->come_back(5));
+      gateway::reject(out, 503, "the ledger's disks have no room for new work", gateway::executed::no,
+                      self->retry_after_seconds(5));
       co_return;
     case ledger::open_end::unreachable:
     case ledger::open_end::unknown:
       // No engine has heard of it, and this request ends here.
       self->refused("ledger");
-      gateway::drop(out, 503, "the ledger can't be reached by a majority", "no", self->come_back(1));
+      gateway::reject(out, 503, "the ledger can't be reached by a majority", gateway::executed::no,
+                      self->retry_after_seconds(1));
       if (opened.end == ledger::open_end::unknown) {
         auto now = co_await self->book.look(incoming.partner, incoming.program,
                                             self->runtime.now() + ledger_patience);
@@ -141,7 +148,7 @@
   std::string reason = "the program's chain can't be read in full";
   attempt_end last = attempt_end::failed;
   if (turns) {
-    std::vector<names::index> avoid;
+    std::vector<interning::symbol> avoid;
     reason = "no engine could finish the turn";
     for (int attempt = 1; attempt <= 4 && last == attempt_end::failed; ++attempt) {
       // The desired state may have changed since the last attempt; each plan is made under one view of it.
@@ -177,7 +184,7 @@
         last = attempt_end::complete;
         break;
       }
-      auto planned = gateway::plan_turn(subject, self->around(avoid, attempt), self->engines.rows(),
+      auto planned = gateway::plan_turn(subject, self->context(avoid, attempt), self->engines.rows(),
                                         self->held, self->runtime.random());
       auto* plan = std::get_if<gateway::turn_plan>(&planned);
       if (!plan && std::get<gateway::unplanned>(planned) == gateway::unplanned::hopeless && !broken("hope")) {
--- a/src/hscale/hollow.cc
+++ b/src/hscale/hollow.cc
@@ -1,7 +1,7 @@
 #include "hscale/hollow.h"
 
-#include "desired/state.h"
-#include "hagent/node.h"
+#include "agent/node.h"
+#include "configuration/snapshot.h"
 #include "rpc/endpoint.h"
 
 namespace hscale {
@@ -17,7 +17,7 @@
   runtime::handle agent_runtime, proxy_runtime;
   logging::logger agent_logger, proxy_logger;
   rpc::endpoint proxy_endpoint;
-  std::optional<herontally::hagent::node> agent;
+  std::optional<herontally::agent::node> agent;
   // What the proxy knows, as hproxy keeps it.
   std::int64_t revision = 0, engines_epoch = 0, engines_sequence = 0, members_version = 0;
 
@@ -89,7 +89,7 @@
       (void)json::parse(reply.members, nullptr, false).size();
     }
     if (reply.config.empty() || reply.revision <= revision) return;
-    auto content = herontally::desired::from_text(reply.config);
+    auto content = herontally::configuration::record_from_text(reply.config);
     if (!content) return;
     revision = content->revision;
     seen->in_force[revision].push_back(proxy_runtime.wall());
--- a/src/hsim/site.cc
+++ b/src/hsim/site.cc
@@ -109,9 +109,9 @@
   auto& spot = self.places.at(name);
   // A process that starts anew counts anew.
   spot.logger = self.logger_of(name);
-  if (spot.role == "hcore") machine.node = self.start<ht::hcore::node>(spot);
-  if (spot.role == "hstore") machine.node = self.start<ht::hstore::node>(spot);
-  if (spot.role == "hagent") machine.node = self.start<ht::hagent::node>(spot);
+  if (spot.role == "hcore") machine.node = self.start<ht::control_node::node>(spot);
+  if (spot.role == "hstore") machine.node = self.start<ht::storage_node::node>(spot);
+  if (spot.role == "hagent") machine.node = self.start<ht::agent::node>(spot);
   if (spot.role == "hproxy") machine.node = self.start<ht::hproxy::node>(spot);
   if (spot.role == "engine") {
     auto node = std::make_shared<ht::simengine::node>(self.where.runtime_of(name), spot.engine, spot.logger);
--- a/src/hsim/site_engines.cc
+++ b/src/hsim/site_engines.cc
@@ -107,11 +107,11 @@
   std::function<void()> over = [this, end] { state_->where.at(state_->where.now(), end); };
   auto role = role_of(name);
   if (role == "hcore")
-    runtime.spawn(leave(std::any_cast<std::shared_ptr<ht::hcore::node>>(machine.node), over));
+    runtime.spawn(leave(std::any_cast<std::shared_ptr<ht::control_node::node>>(machine.node), over));
   if (role == "hstore")
-    runtime.spawn(leave(std::any_cast<std::shared_ptr<ht::hstore::node>>(machine.node), over));
+    runtime.spawn(leave(std::any_cast<std::shared_ptr<ht::storage_node::node>>(machine.node), over));
   if (role == "hagent")
-    runtime.spawn(leave(std::any_cast<std::shared_ptr<ht::hagent::node>>(machine.node), over));
+    runtime.spawn(leave(std::any_cast<std::shared_ptr<ht::agent::node>>(machine.node), over));
   if (role == "hproxy")
     runtime.spawn(leave(std::any_cast<std::shared_ptr<ht::hproxy::node>>(machine.node), over));
   self.where.at(self.where.now() + 3 * rt::second, end);
--- a/src/hsim/site_state.h
+++ b/src/hsim/site_state.h
@@ -1,11 +1,11 @@
 // Internal to hsim's site.
 #pragma once
-#include "hagent/node.h"
-#include "hcore/node.h"
+#include "agent/node.h"
+#include "control_node/node.h"
 #include "hproxy/node.h"
 #include "hsim/site.h"
-#include "hstore/node.h"
 #include "simplatform/node.h"
+#include "storage_node/node.h"
 
 namespace hsim {
 
--- a/src/names/names.h
+++ b/src/interning/symbol_table.h
@@ -5,20 +5,20 @@
 #include <optional>
 #include <string>
 
-namespace herontally::names {
+namespace herontally::interning {
 
-using index = std::uint32_t;
+using symbol = std::uint32_t;
 
-class table {
+class symbol_table {
  public:
-  table();
-  ~table();
-  table(table&&) noexcept;
-  table& operator=(table&&) noexcept;
+  symbol_table();
+  ~symbol_table();
+  symbol_table(symbol_table&&) noexcept;
+  symbol_table& operator=(symbol_table&&) noexcept;
   // The same name always gets the same index; new names get the next one.
-  index intern(const std::string& name);
-  std::optional<index> find(const std::string& name) const;
-  const std::string& name_of(index position) const;
+  symbol intern(const std::string& name);
+  std::optional<symbol> find(const std::string& name) const;
+  const std::string& name_of(symbol position) const;
   std::size_t size() const;
 
  private:
@@ -27,6 +27,6 @@
 };
 
 // Letters, digits, '-', '_', '.' and ':', 1 to 120 of them: what may stand in a path or a key.
-bool is_plain(const std::string& name);
+bool is_plain_name(const std::string& name);
 
-}  // namespace herontally::names
+}  // namespace herontally::interning
--- a/src/placement/placement.cc
+++ b/src/placement/placement.cc
@@ -13,7 +13,7 @@
   return static_cast<double>(random() >> 11) * (1.0 / 9007199254740992.0);
 }
 
-double weight_of(const desired::table& table, const engine& each) {
+double weight_of(const configuration::table& table, const engine& each) {
   double weight = 1;
   auto zone = table.zone_weights.find(each.zone);
   if (zone != table.zone_weights.end()) weight *= zone->second;
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -6,14 +6,14 @@
 #include <string>
 #include <vector>
 
-#include "desired/state.h"
-#include "names/names.h"
+#include "configuration/snapshot.h"
+#include "interning/symbol_table.h"
 
 namespace herontally::placement {
 
 // One engine, as this proxy knows it.
 struct engine {
-  names::index number = 0;
+  interning::symbol number = 0;
   std::string name, zone, address, weights;
   bool live = false;          // it answers us
   bool draining = false;      // the platform or the engine itself said so
@@ -42,8 +42,8 @@
   // Doors that share each engine's caps, and this one's place among them; a door that isn't listed (rank -1)
   // has no share. While the list changes the one before counts as well, and the smaller share holds.
   std::int64_t proxies = 1, rank = 0, proxies_before = 0, rank_before = 0;
-  desired::table table;
-  std::vector<names::index> avoid;  // engines that earlier attempts of this request failed on
+  configuration::table table;
+  std::vector<interning::symbol> avoid;  // engines that earlier attempts of this request failed on
 };
 
 struct choice {
--- a/src/dialect/dialect.h
+++ b/src/platform_protocol/adapter.h
@@ -11,7 +11,7 @@
 #include "routing/table.h"
 #include "runtime/backend.h"
 
-namespace herontally::dialect {
+namespace herontally::platform_protocol {
 
 // One part of a prompt: its identity and its length in tokens.
 struct prompt_part {
@@ -20,7 +20,7 @@
 };
 
 // What a request says of itself. Times in milliseconds; -1: not said.
-struct request_terms {
+struct request_metadata {
   std::string attempt, program, session, previous, model, affinity, last_event;
   std::int64_t time_left = -1, program_time_left = -1, budget = -1, prompt_tokens = 0, most_tokens = 0;
   std::vector<prompt_part> parts;
@@ -28,7 +28,7 @@
 };
 
 // What an engine's answer says of itself.
-struct answer_terms {
+struct response_metadata {
   std::string attempt, instance;
   bool not_run = false;  // the engine promises that it did not run the request
   bool sealed = false;   // it carries the engine's stamp
@@ -61,7 +61,7 @@
   std::string body;
 };
 struct read_command {};
-struct evacuation_command {
+struct evacuate_command {
   std::string zone;
   bool begin = true;
 };
@@ -75,33 +75,44 @@
 struct unknown_command {
   bool known_path = false;  // the path stands for a call, but not with this method or body
 };
-using command = std::variant<unknown_command, change_command, read_command, evacuation_command,
-                             retire_command, retire_status_command>;
+using command = std::variant<unknown_command, change_command, read_command, evacuate_command, retire_command,
+                             retire_status_command>;
 
 // How a call ended; the dialect puts it into a status and a body.
-enum class result { done, rolling, stale, invalid, unknown_name, under_way, too_few, unreachable, unclear };
-struct reply_terms {
-  result end = result::done;
+enum class command_status {
+  done,
+  rolling,
+  stale,
+  invalid,
+  unknown_name,
+  under_way,
+  too_few,
+  unreachable,
+  unclear
+};
+struct command_reply {
+  command_status status = command_status::done;
   std::string document;  // what was read, as it was sent
-  std::vector<routing::fault> faults;
+  std::vector<routing::violation> violations;
   std::int64_t version = 0;
 };
 
-// A configuration as sent, and what it means. `sent` is kept as it is for reading back.
+// A configuration as sent, and what it means. `source` is kept as it is for reading back.
 struct configuration {
-  std::string sent;
+  std::string source;
   routing::table table;
 };
 
-struct dialect {
-  std::function<request_terms(const std::map<std::string, std::string>& headers)> read_request;
-  std::function<answer_terms(int status, const std::map<std::string, std::string>& headers)> read_answer;
+struct adapter {
+  std::function<request_metadata(const std::map<std::string, std::string>& headers)> read_request;
+  std::function<response_metadata(int status, const std::map<std::string, std::string>& headers)>
+      read_response;
   // Lays what the next hop must be told over the request's own fields.
   std::function<void(std::map<std::string, std::string>& headers, const std::string& engine,
                      std::int64_t time_left, std::int64_t urgency)>
       address_request;
   // Tells a caller when to come back, in milliseconds.
-  std::function<void(std::map<std::string, std::string>& headers, std::int64_t milliseconds)> come_back;
+  std::function<void(std::map<std::string, std::string>& headers, std::int64_t milliseconds)> set_retry_after;
   // The header that an engine's answer carries back, lower case.
   std::string echo_header;
   std::string ready_path;
@@ -112,11 +123,11 @@
   std::function<std::optional<engine_report>(const std::string& body)> read_report;
 
   std::function<command(const runtime::inbound_request& request)> read_command;
-  std::function<runtime::http_response(const command& asked, const reply_terms& terms)> write_reply;
+  std::function<runtime::http_response(const command& asked, const command_reply& terms)> write_reply;
   // A whole configuration, or a partial one laid over `current` (as sent); or what stands against it.
-  std::function<std::variant<configuration, std::vector<routing::fault>>(
+  std::function<std::variant<configuration, std::vector<routing::violation>>(
       const std::optional<std::string>& current, const change_command& change)>
       read_configuration;
 };
 
-}  // namespace herontally::dialect
+}  // namespace herontally::platform_protocol
--- a/src/prefix/prefix.cc
+++ b/src/prefix/prefix.cc
@@ -86,7 +86,7 @@
 struct index::state {
   limits bounds;
   std::vector<engine_shelf> engines;
-  engine_shelf& of(names::index engine) {
+  engine_shelf& of(interning::symbol engine) {
     if (engines.size() <= engine) engines.resize(engine + 1);
     return engines[engine];
   }
@@ -96,7 +96,7 @@
 index::index(limits bounds) : state_(std::make_unique<state>()) { state_->bounds = bounds; }
 index::~index() = default;
 
-void index::note(names::index engine, const std::vector<std::string>& hashes, std::int64_t now) {
+void index::note(interning::symbol engine, const std::vector<std::string>& hashes, std::int64_t now) {
   auto& blocks = state_->of(engine).blocks;
   auto& order = blocks.get<1>();
   for (auto& hash : hashes) {
@@ -112,7 +112,7 @@
   while (!order.empty() && now - order.front().used > state_->bounds.longest_age) order.pop_front();
 }
 
-std::size_t index::leading(names::index engine, const std::vector<std::string>& hashes,
+std::size_t index::leading(interning::symbol engine, const std::vector<std::string>& hashes,
                            std::int64_t now) const {
   if (engine >= state_->engines.size()) return 0;
   auto& blocks = state_->engines[engine].blocks;
@@ -125,9 +125,9 @@
   return count;
 }
 
-void index::forget(names::index engine) { state_->of(engine) = engine_shelf{}; }
+void index::forget(interning::symbol engine) { state_->of(engine) = engine_shelf{}; }
 
-void index::correct(names::index engine, const std::vector<std::string>& hashes, std::size_t found,
+void index::correct(interning::symbol engine, const std::vector<std::string>& hashes, std::size_t found,
                     std::size_t foretold) {
   auto& shelf_of = state_->of(engine);
   for (std::size_t position = found; position < hashes.size(); ++position)
@@ -137,10 +137,10 @@
   shelf_of.belief = 0.7 * shelf_of.belief + 0.3 * right;
 }
 
-double index::belief(names::index engine) const {
+double index::belief(interning::symbol engine) const {
   return engine < state_->engines.size() ? state_->engines[engine].belief : 1;
 }
-std::size_t index::size(names::index engine) const {
+std::size_t index::size(interning::symbol engine) const {
   return engine < state_->engines.size() ? state_->engines[engine].blocks.size() : 0;
 }
 
--- a/src/prefix/prefix.h
+++ b/src/prefix/prefix.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "names/names.h"
+#include "interning/symbol_table.h"
 
 namespace herontally::prefix {
 
@@ -35,17 +35,18 @@
   explicit index(limits bounds);
   ~index();
   // These blocks were sent to or produced by this engine at this moment.
-  void note(names::index engine, const std::vector<std::string>& hashes, std::int64_t now);
+  void note(interning::symbol engine, const std::vector<std::string>& hashes, std::int64_t now);
   // How many leading blocks the engine is believed to hold.
-  std::size_t leading(names::index engine, const std::vector<std::string>& hashes, std::int64_t now) const;
+  std::size_t leading(interning::symbol engine, const std::vector<std::string>& hashes,
+                      std::int64_t now) const;
   // An engine restarted, changed weights, drains or left: nothing is believed of it any more.
-  void forget(names::index engine);
+  void forget(interning::symbol engine);
   // It was said to hold `foretold` blocks and had `found`: beyond those it is believed no more, and
   // what is believed of it counts for less until it proves right again.
-  void correct(names::index engine, const std::vector<std::string>& hashes, std::size_t found,
+  void correct(interning::symbol engine, const std::vector<std::string>& hashes, std::size_t found,
                std::size_t foretold);
-  double belief(names::index engine) const;
-  std::size_t size(names::index engine) const;
+  double belief(interning::symbol engine) const;
+  std::size_t size(interning::symbol engine) const;
 
  private:
   struct state;
--- a/src/routing/table.cc
+++ b/src/routing/table.cc
@@ -93,7 +93,7 @@
 }
 
 static void check_route(const table& content, const route& entry, const std::string& pointer,
-                        std::vector<fault>& faults) {
+                        std::vector<violation>& faults) {
   if (entry.deadline <= 0) faults.push_back({pointer + "/deadline", "must be above 0"});
   std::int64_t total = 0;
   bool negative = false;
@@ -113,8 +113,8 @@
     faults.push_back({pointer + "/targets", "the shares add up to 0"});
 }
 
-std::vector<fault> check(const table& content) {
-  std::vector<fault> faults;
+std::vector<violation> check(const table& content) {
+  std::vector<violation> faults;
   std::set<std::string> names;
   std::set<std::pair<std::string, std::string>> places;
   for (std::size_t number = 0; number < content.services.size(); ++number) {
--- a/src/routing/table.h
+++ b/src/routing/table.h
@@ -75,10 +75,10 @@
 void from_json(const json& document, table& to);
 
 // Where a table is wrong: a JSON pointer into the product's form, and what stands against it.
-struct fault {
+struct violation {
   std::string pointer, what;
 };
 // Unknown services, two routes in one place, shares that add up to 0, no deadline.
-std::vector<fault> check(const table& content);
+std::vector<violation> check(const table& content);
 
 }  // namespace herontally::routing
--- a/src/settings/settings.cc
+++ b/src/settings/settings.cc
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <set>
 
-#include "names/names.h"
+#include "interning/symbol_table.h"
 
 namespace herontally::settings {
 
@@ -111,9 +111,9 @@
   settings out;
   out.role = role;
   out.name = from.text("name", true);
-  if (!names::is_plain(out.name)) from.fail("name", "must be letters, digits, '-', '_', '.' or ':'");
+  if (!interning::is_plain_name(out.name)) from.fail("name", "must be letters, digits, '-', '_', '.' or ':'");
   out.zone = from.text("zone", true);
-  if (!names::is_plain(out.zone)) from.fail("zone", "must be letters, digits, '-', '_', '.' or ':'");
+  if (!interning::is_plain_name(out.zone)) from.fail("zone", "must be letters, digits, '-', '_', '.' or ':'");
   out.inner = from.address("inner", true);
   out.http = from.address("http", true);
   read_seeds(from, out);
--- a/src/simplatform/node.cc
+++ b/src/simplatform/node.cc
@@ -56,7 +56,7 @@
     if (incoming.path == "/v1/engines" && incoming.method == "PUT") {
       auto body = json::parse(incoming.body, nullptr, false);
       if (!body.is_object() || !body.contains("engines") || !body["engines"].is_array())
-        return gateway::drop(out, 400, "engines must be a list", "no");
+        return gateway::reject(out, 400, "engines must be a list", gateway::executed::no);
       set(body["engines"]);
       return gateway::reply_json(out, 200, {{"taken", true}});
     }
@@ -71,7 +71,7 @@
       set(engines);
       return gateway::reply_json(out, 200, {{"taken", true}});
     }
-    gateway::drop(out, 404, "no such page", "no");
+    gateway::reject(out, 404, "no such page", gateway::executed::no);
   }
 };
 
--- a/src/hstore/expiry.cc
+++ b/src/storage_node/conversation_expiry.cc
@@ -1,11 +1,10 @@
-#include "hstore/expiry.h"
-
 #include <algorithm>
 
 #include "ledger/program_head.h"
 #include "runtime/breaks.h"
+#include "storage_node/expiry.h"
 
-namespace herontally::hstore {
+namespace herontally::storage_node {
 
 using runtime::microseconds;
 using runtime::millisecond;
@@ -137,4 +136,4 @@
   }
 }
 
-}  // namespace herontally::hstore
+}  // namespace herontally::storage_node
--- a/src/hstore/expiry.h
+++ b/src/storage_node/expiry.h
@@ -5,7 +5,7 @@
 #include "membership/member_list.h"
 #include "replication/voter.h"
 
-namespace herontally::hstore {
+namespace herontally::storage_node {
 
 runtime::task<> expire_forever(replication::voter voter, consensus::proposer group,
                                membership::member_list known);
@@ -18,4 +18,4 @@
 // When a kept turn is due: what a voter keeps beside its records for the above.
 std::int64_t kept_until_attribute(const std::string& record, std::string_view bytes);
 
-}  // namespace herontally::hstore
+}  // namespace herontally::storage_node
--- a/src/hstore/node.cc
+++ b/src/storage_node/node.cc
@@ -1,11 +1,11 @@
-#include "hstore/node.h"
+#include "storage_node/node.h"
 
 #include "gateway/http.h"
-#include "hstore/expiry.h"
 #include "membership/member_list.h"
 #include "replication/voter.h"
+#include "storage_node/expiry.h"
 
-namespace herontally::hstore {
+namespace herontally::storage_node {
 
 using runtime::millisecond;
 using runtime::second;
@@ -75,7 +75,7 @@
       self->place.http, [weak](runtime::inbound_request handle_record, gateway::writer out) {
         auto here = weak.lock();
         if (!here || gateway::common_pages(handle_record, out, here->logger, here->ready)) return;
-        gateway::drop(out, 404, "no such page", "no");
+        gateway::reject(out, 404, "no such page", gateway::executed::no);
       });
   if (!served) co_return "http can't be listened on: " + self->place.http;
   self->logger.info("started", {{"voter", self->voter.id()}, {"keys", self->voter.records().record_count()}});
@@ -88,4 +88,4 @@
   co_await self->known.leave();
 }
 
-}  // namespace herontally::hstore
+}  // namespace herontally::storage_node
--- a/src/hstore/node.h
+++ b/src/storage_node/node.h
@@ -4,7 +4,7 @@
 #include "runtime/runtime.h"
 #include "settings/settings.h"
 
-namespace herontally::hstore {
+namespace herontally::storage_node {
 
 class node {
  public:
@@ -18,4 +18,4 @@
   std::shared_ptr<state> state_;
 };
 
-}  // namespace herontally::hstore
+}  // namespace herontally::storage_node
--- a/src/hstore/expiry_programs.cc
+++ b/src/storage_node/program_expiry.cc
@@ -1,9 +1,9 @@
 #include <limits>
 
-#include "hstore/expiry.h"
 #include "ledger/program_head.h"
+#include "storage_node/expiry.h"
 
-namespace herontally::hstore {
+namespace herontally::storage_node {
 
 using runtime::millisecond;
 using runtime::second;
@@ -78,4 +78,4 @@
   }
 }
 
-}  // namespace herontally::hstore
+}  // namespace herontally::storage_node
--- a/tests/cold_share_test.cc
+++ b/tests/cold_share_test.cc
@@ -36,7 +36,7 @@
     route.targets = {{"s", 1}};
     table.routes = {route};
     auto list = nlohmann::json::array(
-        {dialect::listed_engine{"engine", "s", "10.0.0.1:80", "a", "", 64, 3600 * 1000, false}});
+        {platform_protocol::listed_engine{"engine", "s", "10.0.0.1:80", "a", "", 64, 3600 * 1000, false}});
     for (auto& each : rosters) each.list(list.dump(), now);
   }
   void listed(int count) {
@@ -45,10 +45,10 @@
   void send_all_that_may() {
     for (std::size_t node = 0; node < rosters.size(); ++node) {
       auto wall = now + clock_errors[node];
-      forward::surroundings around{table, evacuated, "a", 64, groups[node], now, wall};
-      dialect::request_terms terms;
+      forward::planning_context context{table, evacuated, "a", 64, groups[node], now, wall};
+      platform_protocol::request_metadata terms;
       forward::subject asked{table.routes[0], table.services[0], terms, {}, 1};
-      auto made = forward::make_plan(asked, rosters[node], around, random);
+      auto made = forward::make_plan(asked, rosters[node], context, random);
       if (!std::holds_alternative<forward::plan>(made)) continue;
       rosters[node].sent(0, 0, now);
       rosters[node].ended(0);
--- a/tests/desired_test.cc
+++ b/tests/configuration_test.cc
@@ -2,10 +2,10 @@
 #include <catch2/catch.hpp>
 #include <fstream>
 
-#include "desired/calendar.h"
-#include "desired/state.h"
+#include "config_distribution/freshness.h"
+#include "configuration/cron.h"
+#include "configuration/snapshot.h"
 #include "hsim/world.h"
-#include "news/board.h"
 #include "settings/settings.h"
 
 using namespace herontally;
@@ -16,7 +16,7 @@
   std::ifstream stream(std::string(EXAMPLES) + "/" + site + "/desired.json");
   return json::parse(stream);
 }
-bool names(const std::vector<desired::fault>& faults, const std::string& pointer) {
+bool names(const std::vector<configuration::violation>& faults, const std::string& pointer) {
   for (auto& fault : faults)
     if (fault.pointer == pointer) return true;
   return false;
@@ -24,7 +24,7 @@
 }  // namespace
 
 TEST_CASE("both partners' examples are without fault, and each kind of fault is named by its pointer") {
-  for (auto* site : {"swanreach", "zastavica"}) REQUIRE(desired::check(example(site)).empty());
+  for (auto* site : {"swanreach", "zastavica"}) REQUIRE(configuration::validate(example(site)).empty());
   struct spoiled {
     const char* place;
     json value;
@@ -64,7 +64,7 @@
   for (auto& each : cases) {
     auto document = example("swanreach");
     document[json::json_pointer(each.place)] = each.value;
-    auto faults = desired::check(document);
+    auto faults = configuration::validate(document);
     INFO(each.pointer << " in " << json(faults).dump());
     REQUIRE(names(faults, each.pointer));
   }
@@ -72,7 +72,7 @@
   auto document = example("swanreach");
   document["partners"]["swanreach"]["models"]["returns"]["block_tokens"] = 0;
   document["partners"]["swanreach"]["tables"]["day"]["usage_weight"] = -1;
-  auto faults = desired::check(document);
+  auto faults = configuration::validate(document);
   REQUIRE(names(faults, "/partners/swanreach/models/returns/block_tokens"));
   REQUIRE(names(faults, "/partners/swanreach/tables/day/usage_weight"));
 }
@@ -104,13 +104,13 @@
     auto flat = document.flatten();
     auto place = std::next(flat.begin(), static_cast<std::ptrdiff_t>(random() % flat.size()));
     document[json::json_pointer(place.key())] = any(0);
-    if (!desired::check(document).empty()) {
+    if (!configuration::validate(document).empty()) {
       ++refused;
       continue;
     }
-    desired::record content;
+    configuration::record content;
     content.document = document;
-    REQUIRE(desired::state_of(content).partners.size() == 1);
+    REQUIRE(configuration::snapshot_of(content).partners.size() == 1);
     ++compiled;
   }
   REQUIRE(refused > 500);
@@ -118,21 +118,21 @@
 }
 
 TEST_CASE("calendar times match a plain walk over the days") {
-  auto when = [](const char* text) { return std::get<desired::cron>(desired::parse_cron(text)); };
+  auto when = [](const char* text) { return std::get<configuration::cron>(configuration::parse_cron(text)); };
   // 2026-12-02 was a Wednesday; minute 0 of that day.
   std::int64_t day = 1796169600 / 60;
-  REQUIRE(desired::matches(when("30 8 * * 1-5"), day + 8 * 60 + 30));
-  REQUIRE_FALSE(desired::matches(when("30 8 * * 1-5"), day + 8 * 60 + 31));
-  REQUIRE_FALSE(desired::matches(when("30 8 * * 6,0"), day + 8 * 60 + 30));
-  REQUIRE(desired::matches(when("*/15 * 2 12 *"), day + 45));
-  REQUIRE(desired::matches(when("0 0 13 * 3"), day));
+  REQUIRE(configuration::matches(when("30 8 * * 1-5"), day + 8 * 60 + 30));
+  REQUIRE_FALSE(configuration::matches(when("30 8 * * 1-5"), day + 8 * 60 + 31));
+  REQUIRE_FALSE(configuration::matches(when("30 8 * * 6,0"), day + 8 * 60 + 30));
+  REQUIRE(configuration::matches(when("*/15 * 2 12 *"), day + 45));
+  REQUIRE(configuration::matches(when("0 0 13 * 3"), day));
   int found = 0;
   for (std::int64_t minute = day; minute < day + 7 * 1440; ++minute)
-    found += desired::matches(when("5 6,18 * * 7"), minute);
+    found += configuration::matches(when("5 6,18 * * 7"), minute);
   REQUIRE(found == 2);
   for (auto* bad : {"", "* * * *", "60 * * * *", "* 24 * * *", "* * 0 * *", "* * * 13 *", "* * * * 8",
                     "5-1 * * * *", "*/0 * * * *", "a * * * *", "1,,2 * * * *", "* * * * * *"})
-    REQUIRE(std::holds_alternative<std::string>(desired::parse_cron(bad)));
+    REQUIRE(std::holds_alternative<std::string>(configuration::parse_cron(bad)));
 }
 
 TEST_CASE("settings name the field that is wrong") {
@@ -173,21 +173,21 @@
   world.machine("m", "z");
   world.boot("m");
   auto runtime = world.runtime_of("m");
-  news::freshness fresh(runtime, "a");
-  fresh.edges({"a", "b", "c"}, {});
+  config_distribution::freshness fresh(runtime, "a");
+  fresh.set_edges({"a", "b", "c"}, {});
   fresh.heard_edge("b", runtime.now());
   fresh.heard_edge("c", runtime.now());
   // Never vouched for in this life: neither our own word nor the others' counts.
   REQUIRE(fresh.moment() < 0);
   fresh.vouched(runtime.now());
-  REQUIRE(fresh.settled());
+  REQUIRE(fresh.is_known());
   world.run_for(5 * runtime::second);
   auto later = runtime.now();
   REQUIRE(fresh.moment() < later - 4 * runtime::second);
   fresh.heard_edge("c", later);
   REQUIRE(fresh.moment() == later);
   // While the set changes, both majorities are needed.
-  fresh.edges({"a", "b", "c"}, {"a", "x", "y"});
+  fresh.set_edges({"a", "b", "c"}, {"a", "x", "y"});
   REQUIRE(fresh.moment() < later - 4 * runtime::second);
   fresh.heard_edge("y", later - 10);
   REQUIRE(fresh.moment() == later - 10);
--- a/tests/control_cost_test.cc
+++ b/tests/control_cost_test.cc
@@ -2,8 +2,8 @@
 // otherwise only that they still hold.
 #include <catch2/catch.hpp>
 
-#include "hagent/node.h"
-#include "hcore/node.h"
+#include "agent/node.h"
+#include "control_node/node.h"
 #include "hsim/world.h"
 #include "membership/member_list.h"
 
@@ -124,7 +124,7 @@
 
 TEST_CASE("an agent tells its proxy the membership rows only when they have changed") {
   one_node own;
-  hagent::node agent(own.world.runtime_of("node"), own.place, own.logger());
+  agent::node agent(own.world.runtime_of("node"), own.place, own.logger());
   own.start(agent);
   rpc::config_update_request request;
   request.node = "proxy";
@@ -157,7 +157,7 @@
 
 TEST_CASE("an engine list is confirmed without its text, by a core that has it") {
   one_node own;
-  hcore::node core(own.world.runtime_of("node"), own.place, own.logger());
+  control_node::node core(own.world.runtime_of("node"), own.place, own.logger());
   own.start(core);
   std::string address = own.place.inner;
   REQUIRE(ask(own.world, own.endpoint, address, rpc::engine_list_request{1, 1, ""})->status ==
--- a/tests/control_setting.h
+++ b/tests/control_setting.h
@@ -2,10 +2,10 @@
 #pragma once
 #include <catch2/catch.hpp>
 
-#include "hcore/node.h"
+#include "control_node/node.h"
 #include "hsim/world.h"
-#include "hstore/node.h"
-#include "platform/dialect.h"
+#include "platform/operator_calls.h"
+#include "storage_node/node.h"
 
 namespace herontally::tests {
 
@@ -15,7 +15,7 @@
 
 struct control_site {
   hsim::world world;
-  std::shared_ptr<dialect::dialect> words = std::make_shared<dialect::dialect>();
+  std::shared_ptr<platform_protocol::adapter> words = std::make_shared<platform_protocol::adapter>();
   std::map<std::string, std::vector<std::string>> lines;  // what each node logged, over all its lives
   std::vector<std::string> asked;                         // of the platform's list
   json page_two = json::array();
@@ -63,10 +63,10 @@
         [](std::shared_ptr<Node> started) -> runtime::task<> { co_await started->start(); }(node));
   }
   void boot_core(const std::string& name, bool founding = true) {
-    std::shared_ptr<const dialect::dialect> speech = words;
-    boot<hcore::node>(name, "hcore", founding, speech);
+    std::shared_ptr<const platform_protocol::adapter> speech = words;
+    boot<control_node::node>(name, "hcore", founding, speech);
   }
-  void boot_store(const std::string& name) { boot<hstore::node>(name, "hstore", false); }
+  void boot_store(const std::string& name) { boot<storage_node::node>(name, "hstore", false); }
   void boot_all() {
     for (auto name : {"c1", "c2", "c3"}) boot_core(name);
     for (auto name : {"s1", "s2", "s3"}) boot_store(name);
--- a/tests/door_setting.h
+++ b/tests/door_setting.h
@@ -44,7 +44,7 @@
     forward::door_options choice;
     choice.zone = "z";
     logging::logger logger("w", [](auto&, auto&) {});
-    door = std::make_shared<forward::door>(runtime, logger, platform::make_dialect(),
+    door = std::make_shared<forward::door>(runtime, logger, platform::make_adapter(),
                                            ledger::programs(writer), choice);
     runtime.http_serve("10.0.1.1:80",
                        [door = door, runtime](runtime::inbound_request request, gateway::writer out) {
@@ -88,7 +88,7 @@
                                            [this, id](runtime::inbound_request request, gateway::writer out) {
                                              serve(id, std::move(request), std::move(out));
                                            });
-    listed.push_back(dialect::listed_engine{id, service, address, "z", "v1", 8, 0, false});
+    listed.push_back(platform_protocol::listed_engine{id, service, address, "z", "v1", 8, 0, false});
   }
   void begin() {
     door->routing(table, {});
--- a/tests/forward_test.cc
+++ b/tests/forward_test.cc
@@ -65,23 +65,24 @@
   }
   void engine(const std::string& id, const std::string& zone, std::int64_t capacity = 64,
               std::int64_t cold = 0) {
-    listed.push_back(dialect::listed_engine{id, "s", "10.0.0.1:80", zone, "", capacity, cold, false});
+    listed.push_back(
+        platform_protocol::listed_engine{id, "s", "10.0.0.1:80", zone, "", capacity, cold, false});
     engines.list(listed.dump(), now);
   }
-  std::variant<forward::plan, forward::unplanned> plan(dialect::request_terms terms = {}) {
+  std::variant<forward::plan, forward::unplanned> plan(platform_protocol::request_metadata terms = {}) {
     forward::subject asked{table.routes[0], table.services[0], terms, {}, 1};
-    forward::surroundings around{table, evacuated, "a", 3, group, now, now};
-    return forward::make_plan(asked, engines, around, random);
+    forward::planning_context context{table, evacuated, "a", 3, group, now, now};
+    return forward::make_plan(asked, engines, context, random);
   }
-  std::string chosen(dialect::request_terms terms = {}) {
+  std::string chosen(platform_protocol::request_metadata terms = {}) {
     auto made = plan(std::move(terms));
     auto* found = std::get_if<forward::plan>(&made);
     return found ? found->engine_id : "";
   }
 };
 
-dialect::request_terms prompt() {
-  dialect::request_terms terms;
+platform_protocol::request_metadata prompt() {
+  platform_protocol::request_metadata terms;
   terms.model = "m";
   terms.parts = {{"p", 2560}, {"q", 400}};
   return terms;
--- a/tests/platform_calls_test.cc
+++ b/tests/platform_calls_test.cc
@@ -6,30 +6,33 @@
 
 TEST_CASE("the operator's calls are told apart") {
   auto speech = words();
-  auto change = std::get<dialect::change_command>(
+  auto change = std::get<platform_protocol::change_command>(
       speech.read_command(call("POST", "/-/config/replace", "{}", {{"x-base-version", "5"}})));
   CHECK(change.expected == 5);
   CHECK(!change.partial);
   CHECK(change.body == "{}");
-  auto part = std::get<dialect::change_command>(speech.read_command(call("POST", "/-/config/amend")));
+  auto part =
+      std::get<platform_protocol::change_command>(speech.read_command(call("POST", "/-/config/amend")));
   CHECK(part.partial);
   CHECK(part.expected == -1);
-  CHECK(std::holds_alternative<dialect::read_command>(speech.read_command(call("GET", "/-/config/read"))));
-  auto zone =
-      std::get<dialect::evacuation_command>(speech.read_command(call("POST", "/-/evacuation/lj-a/begin")));
+  CHECK(std::holds_alternative<platform_protocol::read_command>(
+      speech.read_command(call("GET", "/-/config/read"))));
+  auto zone = std::get<platform_protocol::evacuate_command>(
+      speech.read_command(call("POST", "/-/evacuation/lj-a/begin")));
   CHECK(zone.zone == "lj-a");
   CHECK(zone.begin);
-  CHECK(!std::get<dialect::evacuation_command>(speech.read_command(call("POST", "/-/evacuation/z/finish")))
+  CHECK(!std::get<platform_protocol::evacuate_command>(
+             speech.read_command(call("POST", "/-/evacuation/z/finish")))
              .begin);
-  auto retire = std::get<dialect::retire_command>(
+  auto retire = std::get<platform_protocol::retire_command>(
       speech.read_command(call("POST", "/-/retire/s-1/begin", "{\"over_s\":10}")));
   CHECK(retire.node == "s-1");
   CHECK(retire.seconds == 10);
-  CHECK(
-      std::get<dialect::retire_status_command>(speech.read_command(call("GET", "/-/retire/s-1/read"))).node ==
-      "s-1");
+  CHECK(std::get<platform_protocol::retire_status_command>(
+            speech.read_command(call("GET", "/-/retire/s-1/read")))
+            .node == "s-1");
   auto unknown = [&](const std::string& method, const std::string& path) {
-    return std::get<dialect::unknown_command>(speech.read_command(call(method, path))).known_path;
+    return std::get<platform_protocol::unknown_command>(speech.read_command(call(method, path))).known_path;
   };
   CHECK(unknown("GET", "/-/config/replace"));
   CHECK(unknown("POST", "/-/retire/s-1/read"));
@@ -39,29 +42,32 @@
 }
 
 TEST_CASE("each end of a call has its status") {
-  using dialect::result;
+  using platform_protocol::command_status;
   auto speech = words();
-  auto status = [&](result end, const dialect::command& asked = dialect::change_command{}) {
-    dialect::reply_terms terms;
-    terms.end = end;
+  auto status = [&](command_status end,
+                    const platform_protocol::command& asked = platform_protocol::change_command{}) {
+    platform_protocol::command_reply terms;
+    terms.status = end;
     terms.document = "{ \"as\": \"sent\" }";
     return speech.write_reply(asked, terms);
   };
-  CHECK(status(result::done).status == 200);
-  CHECK(status(result::done, dialect::read_command{}).body == "{ \"as\": \"sent\" }");
-  CHECK(status(result::rolling, dialect::retire_status_command{}).body == "{\"phase\":\"rolling\"}");
-  CHECK(status(result::done, dialect::retire_status_command{}).body == "{\"phase\":\"complete\"}");
-  CHECK(status(result::stale).status == 412);
-  CHECK(status(result::invalid).status == 400);
-  CHECK(status(result::unknown_name).status == 404);
-  CHECK(status(result::under_way).status == 409);
-  CHECK(status(result::too_few).status == 409);
-  CHECK(status(result::unreachable).status == 503);
-  CHECK(status(result::unclear).status == 503);
-  dialect::reply_terms wrong;
-  wrong.end = result::invalid;
-  wrong.faults = {{"/routing/0/mix", "the shares add up to 0"}};
-  CHECK(json::parse(speech.write_reply(dialect::change_command{}, wrong).body)["faults"][0]["field"] ==
+  CHECK(status(command_status::done).status == 200);
+  CHECK(status(command_status::done, platform_protocol::read_command{}).body == "{ \"as\": \"sent\" }");
+  CHECK(status(command_status::rolling, platform_protocol::retire_status_command{}).body ==
+        "{\"phase\":\"rolling\"}");
+  CHECK(status(command_status::done, platform_protocol::retire_status_command{}).body == "{\"phase\":\"complete\"}");
+  CHECK(status(command_status::stale).status == 412);
+  CHECK(status(command_status::invalid).status == 400);
+  CHECK(status(command_status::unknown_name).status == 404);
+  CHECK(status(command_status::under_way).status == 409);
+  CHECK(status(command_status::too_few).status == 409);
+  CHECK(status(command_status::unreachable).status == 503);
+  CHECK(status(command_status::unclear).status == 503);
+  platform_protocol::command_reply wrong;
+  wrong.status = command_status::invalid;
+  wrong.violations = {{"/routing/0/mix", "the shares add up to 0"}};
+  CHECK(json::parse(
+            speech.write_reply(platform_protocol::change_command{}, wrong).body)["faults"][0]["field"] ==
         "/routing/0/mix");
 }
 
--- a/tests/platform_operators_test.cc
+++ b/tests/platform_operators_test.cc
@@ -7,7 +7,7 @@
 TEST_CASE("a whole configuration is kept as sent and becomes a routing table") {
   auto text = whole().dump(2);
   auto got = read(text);
-  CHECK(got.sent == text);
+  CHECK(got.source == text);
   CHECK(got.table.version == 7);
   REQUIRE(got.table.routes.size() == 2);
   auto& talk = got.table.routes[0];
@@ -135,7 +135,7 @@
   auto expected = whole(9);
   expected["routing"] = json::array({replaced, added});
   expected["backends"].push_back({{"label", "index"}, {"probe", "/health"}});
-  CHECK(json::parse(got.sent) == expected);
+  CHECK(json::parse(got.source) == expected);
   CHECK(got.table.version == 9);
   CHECK(got.table.routes.size() == 2);
   CHECK(got.table.find_service("index"));
--- a/tests/platform_setting.h
+++ b/tests/platform_setting.h
@@ -2,7 +2,7 @@
 #pragma once
 #include <catch2/catch.hpp>
 
-#include "platform/dialect.h"
+#include "platform/operator_calls.h"
 
 namespace herontally::tests {
 
@@ -47,8 +47,8 @@
       {"caps", {{"header_bytes", 16384}, {"body_bytes", 4194304}, {"header_ms", 3000}, {"idle_ms", 15000}}}};
 }
 
-inline dialect::dialect words() {
-  dialect::dialect made;
+inline platform_protocol::adapter words() {
+  platform_protocol::adapter made;
   platform::fill_operators(made);
   return made;
 }
@@ -68,18 +68,18 @@
 inline std::string against(const std::string& body, const std::optional<std::string>& current = std::nullopt,
                            bool partial = false) {
   auto read = platform::read_configuration(current, {0, partial, body});
-  auto* faults = std::get_if<std::vector<routing::fault>>(&read);
+  auto* faults = std::get_if<std::vector<routing::violation>>(&read);
   if (!faults) return "";
   REQUIRE(!faults->empty());
   return faults->front().pointer.empty() ? "whole" : faults->front().pointer;
 }
 inline std::string against(const json& body) { return against(body.dump()); }
-inline dialect::configuration read(const std::string& body,
-                                   const std::optional<std::string>& current = std::nullopt,
-                                   bool partial = false) {
+inline platform_protocol::configuration read(const std::string& body,
+                                             const std::optional<std::string>& current = std::nullopt,
+                                             bool partial = false) {
   auto result = platform::read_configuration(current, {0, partial, body});
-  REQUIRE(std::holds_alternative<dialect::configuration>(result));
-  return std::get<dialect::configuration>(result);
+  REQUIRE(std::holds_alternative<platform_protocol::configuration>(result));
+  return std::get<platform_protocol::configuration>(result);
 }
 
 }  // namespace herontally::tests
--- a/tests/platform_site.cc
+++ b/tests/platform_site.cc
@@ -3,11 +3,11 @@
 
 #include <algorithm>
 
-#include "hagent/node.h"
-#include "hcore/node.h"
+#include "agent/node.h"
+#include "control_node/node.h"
 #include "hproxy/node.h"
-#include "hstore/node.h"
 #include "platform/adapter.h"
+#include "storage_node/node.h"
 
 namespace herontally::psim {
 
@@ -78,11 +78,11 @@
 void site::boot(const std::string& name) {
   auto& place = places_.at(name);
   if (where_.find(name).up || place.gone) return;
-  auto speech = platform::make_dialect();
-  if (place.role == "core") start<hcore::node>(place, "core", speech);
-  if (place.role == "store") start<hstore::node>(place, "store");
+  auto speech = platform::make_adapter();
+  if (place.role == "core") start<control_node::node>(place, "core", speech);
+  if (place.role == "store") start<storage_node::node>(place, "store");
   if (place.role == "edge") {
-    start<hagent::node>(place, "agent", speech);
+    start<agent::node>(place, "agent", speech);
     start<hproxy::node>(place, "proxy", hproxy::adapted{speech, std::nullopt});
   }
   judge_.calm(name);
@@ -162,12 +162,12 @@
   };
   auto node = [this](const std::string& process) -> std::any& { return where_.find(process).node; };
   auto& place = places_.at(name);
-  if (place.role == "core") leave(name, std::any_cast<std::shared_ptr<hcore::node>>(node(name)));
-  if (place.role == "store") leave(name, std::any_cast<std::shared_ptr<hstore::node>>(node(name)));
+  if (place.role == "core") leave(name, std::any_cast<std::shared_ptr<control_node::node>>(node(name)));
+  if (place.role == "store") leave(name, std::any_cast<std::shared_ptr<storage_node::node>>(node(name)));
   if (place.role == "edge") {
     auto agent = agent_of(name);
     leave(name, std::any_cast<std::shared_ptr<hproxy::node>>(node(name)));
-    leave(agent, std::any_cast<std::shared_ptr<hagent::node>>(node(agent)));
+    leave(agent, std::any_cast<std::shared_ptr<agent::node>>(node(agent)));
   }
   where_.at(where_.now() + grace, [this, name] {
     where_.kill(name, hsim::disk_loss::none);
--- a/tests/programs_store_test.cc
+++ b/tests/programs_store_test.cc
@@ -1,9 +1,9 @@
 // What the ledger of branching programs costs its stores, and what they clear away again.
 #include <catch2/catch.hpp>
 
-#include "hstore/expiry.h"
 #include "ledger/programs.h"
 #include "replica_group_fixture.h"
+#include "storage_node/expiry.h"
 
 using namespace herontally;
 using ledger::reserve_end;
@@ -24,7 +24,7 @@
   auto writer = site.begin();
   ledger::programs book(writer);
   for (auto& name : {"s1", "s2", "s3"})
-    site.world.runtime_of(name).spawn(hstore::expire_programs_forever(
+    site.world.runtime_of(name).spawn(storage_node::expire_programs_forever(
         *site.voters[name], site.world.runtime_of(name), logging::logger(name, [](auto&, auto&) {})));
   std::int64_t wall = site.world.runtime_of("w").wall();
   auto early = record_of("early", ""), late = record_of("late", "");
--- a/tests/replica_group_fixture.h
+++ b/tests/replica_group_fixture.h
@@ -3,9 +3,9 @@
 #include <catch2/catch.hpp>
 
 #include "hsim/world.h"
-#include "hstore/expiry.h"
 #include "reconfiguration/view_install.h"
 #include "replication/voter.h"
+#include "storage_node/expiry.h"
 
 namespace herontally::tests {
 
@@ -32,7 +32,7 @@
     choice.group = "store";
     choice.bucket_count = 2;
     choice.limit_bytes = limit_bytes;
-    choice.attribute = hstore::kept_until_attribute;
+    choice.attribute = storage_node::kept_until_attribute;
     auto voter = std::make_shared<replication::voter>(endpoint, choice);
     voters[name] = voter;
     runtime.spawn([](std::shared_ptr<replication::voter> opened) -> runtime::task<> {
--- a/tests/voter_plan_test.cc
+++ b/tests/voter_plan_test.cc
@@ -1,11 +1,11 @@
 // Which machines should vote: plans for groups of every shape that a loss can leave behind.
-#include "hcore/voter_plan.h"
+#include "control_node/voter_plan.h"
 
 #include <catch2/catch.hpp>
 #include <set>
 
 using namespace herontally;
-using namespace herontally::hcore;
+using namespace herontally::control_node;
 
 namespace {
 
@@ -29,7 +29,7 @@
 
 voter_observation& observation_of(std::vector<voter_observation>& observed, const std::string& node) {
   for (auto& each : observed)
-    if (each.place.node == node) return each;
+    if (each.voter.node == node) return each;
   throw std::out_of_range(node);
 }
 
--- a/tests/wire_bytes_test.cc
+++ b/tests/wire_bytes_test.cc
@@ -6,10 +6,10 @@
 #include <catch2/catch.hpp>
 #include <fstream>
 
+#include "configuration/record.h"
 #include "consensus/view.h"
-#include "desired/record.h"
+#include "control_node/storage_directory.h"
 #include "engine/listing.h"
-#include "hcore/node_state.h"
 #include "ledger/program_head.h"
 #include "platform/adapter.h"
 #include "rpc/endpoint.h"
@@ -172,7 +172,7 @@
   out["members"] = json(std::vector{a_member("store-1", rpc::member_status::alive),
                                     a_member("store-2", rpc::member_status::dead)})
                        .dump();
-  out["storage_list"] = json(hcore::storage_list{4, {"store-1", "store-2"}, {"store-1"}}).dump();
+  out["storage_list"] = json(control_node::storage_list{4, {"store-1", "store-2"}, {"store-1"}}).dump();
   out["ledger_head"] = ledger::to_text(a_head());
   out["told_page"] = ledger::to_text(ledger::told_page{"page-0", {"turn-7", "turn-6"}});
   out["turn_content"] = ledger::to_text(
@@ -185,21 +185,21 @@
       hex(ledger::to_text(ledger::turn_record{"id 1", "id 0", "in", bytes_of_all_values, 12}));
   out["turn_key"] = ledger::turn_key("a b%c") + " " + ledger::program_key("a\"b");
   out["keys"] = ledger::head_key("p", "chat:1") + " " + ledger::call_record_key("p", "label", "key");
-  desired::record record;
+  configuration::record record;
   record.revision = 6;
   record.version = 5;
   record.document = {{"shared", {{"evacuated_zones", {"z1"}}}}, {"partners", json::object()}};
   record.edges = {"agent-1"};
-  record.edges_before = {"agent-1", "agent-2"};
-  record.writers = {"core-1-abc"};
-  out["desired_empty"] = desired::to_text(desired::empty_record());
-  out["desired_record"] = desired::to_text(record);
-  record.sent = sent_configuration;
-  record.taken = {{"digest-1", 5}};
-  auto read = platform::make_dialect()->read_configuration(std::nullopt, {0, false, sent_configuration});
-  record.routing = std::get<dialect::configuration>(read).table;
-  out["desired_routing_record"] = desired::to_text(record);
-  out["desired_fault"] = json(desired::fault{"/shared", "is wrong"}).dump();
+  record.previous_edges = {"agent-1", "agent-2"};
+  record.change_ids = {"core-1-abc"};
+  out["desired_empty"] = configuration::to_text(configuration::empty_record());
+  out["desired_record"] = configuration::to_text(record);
+  record.operator_source = sent_configuration;
+  record.applied_changes = {{"digest-1", 5}};
+  auto read = platform::make_adapter()->read_configuration(std::nullopt, {0, false, sent_configuration});
+  record.routing = std::get<platform_protocol::configuration>(read).table;
+  out["desired_routing_record"] = configuration::to_text(record);
+  out["desired_fault"] = json(configuration::violation{"/shared", "is wrong"}).dump();
 }
 
 std::string reply_text(const runtime::http_response& reply) {
@@ -207,29 +207,37 @@
 }
 
 void add_platform_documents(named_bytes& out) {
-  auto adapter = platform::make_dialect();
+  auto adapter = platform::make_adapter();
   auto page = adapter->read_list(listed_page);
   REQUIRE(page);
   out["engine_listing"] = engine::listing_text(page->engines);
   out["list_path"] = adapter->list_path("") + " " + adapter->list_path(page->next) + " " +
                      adapter->report_path + " " + adapter->ready_path + " " + adapter->echo_header;
-  using dialect::result;
-  dialect::command change = dialect::change_command{}, read = dialect::read_command{},
-                   zone = dialect::evacuation_command{}, status = dialect::retire_status_command{};
-  std::map<std::string, dialect::command> commands{
+  using platform_protocol::command_status;
+  platform_protocol::command change = platform_protocol::change_command{},
+                             read = platform_protocol::read_command{},
+                             zone = platform_protocol::evacuate_command{},
+                             status = platform_protocol::retire_status_command{};
+  std::map<std::string, platform_protocol::command> commands{
       {"change", change}, {"read", read}, {"zone", zone}, {"status", status}};
-  std::map<std::string, result> results{
-      {"done", result::done},       {"rolling", result::rolling},           {"stale", result::stale},
-      {"invalid", result::invalid}, {"unknown_name", result::unknown_name}, {"under_way", result::under_way},
-      {"too_few", result::too_few}, {"unreachable", result::unreachable},   {"unclear", result::unclear}};
+  std::map<std::string, command_status> results{{"done", command_status::done},
+                                                {"rolling", command_status::rolling},
+                                                {"stale", command_status::stale},
+                                                {"invalid", command_status::invalid},
+                                                {"unknown_name", command_status::unknown_name},
+                                                {"under_way", command_status::under_way},
+                                                {"too_few", command_status::too_few},
+                                                {"unreachable", command_status::unreachable},
+                                                {"unclear", command_status::unclear}};
   for (auto& [asked, command] : commands)
     for (auto& [end, value] : results) {
-      dialect::reply_terms terms{value, sent_configuration, {{"/routing/0/tries", "is no number"}}, 7};
+      platform_protocol::command_reply terms{
+          value, sent_configuration, {{"/routing/0/tries", "is no number"}}, 7};
       out["reply_" + asked + "_" + end] = reply_text(adapter->write_reply(command, terms));
     }
   std::map<std::string, std::string> headers{{"x-time-left-ms", "900"}, {"x-attempt-id", "a"}};
   adapter->address_request(headers, "i-1", 350, 12);
-  adapter->come_back(headers, 1250);
+  adapter->set_retry_after(headers, 1250);
   out["request_headers"] = json(headers).dump();
 }
 
@@ -269,15 +277,16 @@
   };
   same("view", consensus::to_text(consensus::view_from_text(texts.at("view"))));
   same("members", json(json::parse(texts.at("members")).get<std::vector<rpc::member>>()).dump());
-  same("storage_list", json(json::parse(texts.at("storage_list")).get<hcore::storage_list>()).dump());
+  same("storage_list", json(json::parse(texts.at("storage_list")).get<control_node::storage_list>()).dump());
   same("ledger_head", ledger::to_text(ledger::from_text(texts.at("ledger_head"))));
   same("told_page", ledger::to_text(*ledger::told_page_from(texts.at("told_page"))));
   same("turn_content", ledger::to_text(*ledger::content_from(texts.at("turn_content"))));
   same("call_receipt", ledger::to_text(*ledger::call_record_from(texts.at("call_receipt"))));
   same("program_head", ledger::to_text(*ledger::program_head_from(texts.at("program_head"))));
-  same("desired_record", desired::to_text(*desired::from_text(texts.at("desired_record"))));
-  auto record = *desired::from_text(texts.at("desired_routing_record"));
-  same("desired_routing_record", desired::to_text(record));
+  same("desired_record",
+       configuration::to_text(*configuration::record_from_text(texts.at("desired_record"))));
+  auto record = *configuration::record_from_text(texts.at("desired_routing_record"));
+  same("desired_routing_record", configuration::to_text(record));
   CHECK(json(record.routing.get<routing::table>()) == record.routing);
 }
 
