--- a/src/agent/node.cc
+++ b/src/agent/node.cc
@@ -1,7 +1,7 @@
 #include "agent/node.h"
 
 #include "agent/proxy_link.h"
-#include "gateway/http.h"
+#include "http_api/responses.h"
 
 namespace herontally::agent {
 
@@ -25,10 +25,10 @@
     auto age = feed->age_milliseconds();
     return age >= 0 && age * millisecond <= config_distribution::max_config_age && !leaving;
   }
-  void serve_pages(const runtime::inbound_request& request, const gateway::writer& out) const {
+  void serve_pages(const runtime::inbound_request& request, const http_api::writer& out) const {
     nlohmann::json detail{{"revision", shared->configs.revision()}};
-    if (!gateway::common_pages(request, out, shared->logger, ready(), detail))
-      gateway::reject(out, 404, "no such page", gateway::executed::no);
+    if (!http_api::common_pages(request, out, shared->logger, ready(), detail))
+      http_api::reject(out, 404, "no such page", http_api::executed::no);
   }
 };
 
@@ -52,7 +52,7 @@
   shared->runtime.spawn(self->watch->run());
   shared->runtime.spawn(self->proxy->run());
   std::weak_ptr<state> weak = self;
-  auto pages = [weak](runtime::inbound_request request, gateway::writer out) {
+  auto pages = [weak](runtime::inbound_request request, http_api::writer out) {
     if (auto here = weak.lock()) here->serve_pages(request, out);
   };
   if (!shared->runtime.http_serve(shared->place.http, pages))
--- a/src/control_node/node.cc
+++ b/src/control_node/node.cc
@@ -137,7 +137,7 @@
 
 bool node::state::serve_http() {
   auto serve = [runtime = shared->runtime, weak = std::weak_ptr<operator_api>(operators)](
-                   runtime::inbound_request request, gateway::writer out) {
+                   runtime::inbound_request request, http_api::writer out) {
     if (auto here = weak.lock()) runtime.spawn(here->serve(std::move(request), std::move(out)));
   };
   return shared->runtime.http_serve(shared->place.http, serve);
@@ -146,7 +146,7 @@
 bool node::state::serve_control() {
   if (!shared->platform_adapter || shared->place.control.empty()) return true;
   auto serve = [runtime = shared->runtime, weak = std::weak_ptr<platform_operator_api>(platform_operators)](
-                   runtime::inbound_request request, gateway::writer out) {
+                   runtime::inbound_request request, http_api::writer out) {
     if (auto here = weak.lock()) runtime.spawn(here->serve(std::move(request), std::move(out)));
   };
   return shared->runtime.http_serve(shared->place.control, serve);
--- a/src/control_node/operator_api.cc
+++ b/src/control_node/operator_api.cc
@@ -4,9 +4,9 @@
 
 namespace herontally::control_node {
 
-using gateway::executed;
-using gateway::reject;
-using gateway::reply_json;
+using http_api::executed;
+using http_api::reject;
+using http_api::reply_json;
 
 namespace {
 
@@ -17,7 +17,7 @@
   return {{"ETag", "\"" + std::to_string(version) + "\""}};
 }
 
-void reply_report(const gateway::writer& out, const change_report& report) {
+void reply_report(const http_api::writer& out, const change_report& report) {
   json body{{"version", report.now.version}, {"revision", report.now.revision}};
   auto tag = version_tag(report.now.version);
   switch (report.outcome) {
@@ -114,19 +114,19 @@
 }  // namespace
 
 std::optional<std::string> operator_api::partner_of(const runtime::inbound_request& request) const {
-  auto token = gateway::bearer(request);
+  auto token = http_api::bearer(request);
   for (auto& known : context_->place.operators)
     if (!token.empty() && known.token == token) return known.partner;
   return std::nullopt;
 }
 
-task<> operator_api::change(edit wanted, gateway::writer out) {
+task<> operator_api::change(edit wanted, http_api::writer out) {
   auto self = shared_from_this();
   auto report = co_await self->changes_->change(std::move(wanted));
   reply_report(out, report);
 }
 
-task<> operator_api::read_config(gateway::writer out, std::string partner) {
+task<> operator_api::read_config(http_api::writer out, std::string partner) {
   auto shared = context_;
   auto result =
       co_await shared->catalog.read(configuration::config_key, shared->runtime.now() + read_timeout);
@@ -141,7 +141,7 @@
   reply_json(out, 200, body, version_tag(content.version));
 }
 
-task<> operator_api::change_config(runtime::inbound_request request, gateway::writer out,
+task<> operator_api::change_config(runtime::inbound_request request, http_api::writer out,
                                    std::string partner) {
   auto self = shared_from_this();
   document_change asked;
@@ -166,7 +166,7 @@
   co_await self->change(wanted, out);
 }
 
-task<> operator_api::serve_config(runtime::inbound_request request, gateway::writer out) {
+task<> operator_api::serve_config(runtime::inbound_request request, http_api::writer out) {
   auto self = shared_from_this();
   auto partner = self->partner_of(request);
   if (!partner) {
@@ -180,7 +180,7 @@
   }
 }
 
-task<> operator_api::serve_evacuation(runtime::inbound_request request, gateway::writer out,
+task<> operator_api::serve_evacuation(runtime::inbound_request request, http_api::writer out,
                                       std::string zone) {
   auto self = shared_from_this();
   auto partner = self->partner_of(request);
@@ -204,7 +204,7 @@
   co_await self->change(wanted, out);
 }
 
-task<> operator_api::begin_retirement(gateway::writer out, std::string partner, std::string node) {
+task<> operator_api::begin_retirement(http_api::writer out, std::string partner, std::string node) {
   auto self = shared_from_this();
   edit wanted = [self, node, partner](const configuration::record& current, const std::string& change_id) {
     json document = current.document;
@@ -221,7 +221,7 @@
   co_await self->change(wanted, out);
 }
 
-task<> operator_api::serve_retirement(runtime::inbound_request request, gateway::writer out,
+task<> operator_api::serve_retirement(runtime::inbound_request request, http_api::writer out,
                                       std::string node) {
   auto self = shared_from_this();
   auto shared = self->context_;
@@ -257,7 +257,7 @@
 }
 
 // Founds one group and writes its first view. False: the request was answered with what stands against it.
-task<bool> operator_api::begin_group(std::string group, json addresses, gateway::writer out) {
+task<bool> operator_api::begin_group(std::string group, json addresses, http_api::writer out) {
   constexpr microseconds found_timeout = 5 * second;
   auto shared = context_;
   auto voters = voters_at(addresses, shared->members);
@@ -285,7 +285,7 @@
   co_return written.value.has_value();
 }
 
-task<> operator_api::serve_bootstrap(runtime::inbound_request request, gateway::writer out) {
+task<> operator_api::serve_bootstrap(runtime::inbound_request request, http_api::writer out) {
   auto self = shared_from_this();
   if (self->partner_of(request) != all_partners) {
     reject(out, 401, "a bearer token for every section is needed", executed::no);
@@ -305,7 +305,7 @@
 }
 
 void operator_api::serve_status_page(const runtime::inbound_request& request,
-                                     const gateway::writer& out) const {
+                                     const http_api::writer& out) const {
   auto& shared = *context_;
   bool get = request.method == "GET";
   if (get && request.path == "/v1/members") {
@@ -318,17 +318,17 @@
               {"sequence", version.sequence}};
     reply_json(out, 200, body);
   } else if (get && request.path == "/v1/schema") {
-    gateway::reply_text(out, "application/json", schema_operators);
+    http_api::reply_text(out, "application/json", schema_operators);
   } else {
     reject(out, 404, "no such page", executed::no);
   }
 }
 
-task<> operator_api::serve(runtime::inbound_request request, gateway::writer out) {
+task<> operator_api::serve(runtime::inbound_request request, http_api::writer out) {
   auto self = shared_from_this();
   bool ready = self->reader_->is_confirmed() && !self->context_->leaving;
-  if (gateway::common_pages(request, out, self->context_->logger, ready)) co_return;
-  auto parts = gateway::split_path(request.path);
+  if (http_api::common_pages(request, out, self->context_->logger, ready)) co_return;
+  auto parts = http_api::split_path(request.path);
   bool item = parts.size() == 4 && parts[0] == "v1";
   if (request.path == "/v1/desired")
     co_await self->serve_config(std::move(request), out);
--- a/src/control_node/platform_operator_api.cc
+++ b/src/control_node/platform_operator_api.cc
@@ -266,7 +266,7 @@
   co_return reply;
 }
 
-task<> platform_operator_api::serve(runtime::inbound_request request, gateway::writer out) {
+task<> platform_operator_api::serve(runtime::inbound_request request, http_api::writer out) {
   auto self = shared_from_this();
   auto& adapter = *self->context_->platform_adapter;
   auto command = adapter.read_command(request);
--- a/src/control_node/platform_operator_api.h
+++ b/src/control_node/platform_operator_api.h
@@ -12,7 +12,7 @@
  public:
   platform_operator_api(std::shared_ptr<context> shared, std::shared_ptr<config_changes> changes,
                         std::shared_ptr<storage_directory> directory, std::shared_ptr<stall_detector> stalls);
-  task<> serve(runtime::inbound_request request, gateway::writer out);
+  task<> serve(runtime::inbound_request request, http_api::writer out);
 
  private:
   using command_reply = platform_protocol::command_reply;
--- a/src/control_node/stall_detector.cc
+++ b/src/control_node/stall_detector.cc
@@ -8,7 +8,7 @@
 // What came in during a stall has been handed over by then.
 constexpr microseconds recovery_time = max_stall / 4;
 
-abandonment_check stall_detector::abandonment_of(gateway::writer out) {
+abandonment_check stall_detector::abandonment_of(http_api::writer out) {
   return [weak = weak_from_this(), out] {
     auto self = weak.lock();
     return !self || out->closed() || self->stalled();
--- a/src/control_node/stall_detector.h
+++ b/src/control_node/stall_detector.h
@@ -7,7 +7,7 @@
 // still for so long that callers whose requests had come in before have given up.
 #pragma once
 #include "control_node/context.h"
-#include "gateway/http.h"
+#include "http_api/responses.h"
 
 namespace herontally::control_node {
 
@@ -19,7 +19,7 @@
   explicit stall_detector(std::shared_ptr<context> shared) : context_(std::move(shared)) {}
   // Runs until the process stops.
   task<> run();
-  abandonment_check abandonment_of(gateway::writer out);
+  abandonment_check abandonment_of(http_api::writer out);
 
  private:
   bool stalled() const;
--- a/src/hscale/hollow.cc
+++ b/src/hscale/hollow.cc
@@ -18,7 +18,7 @@
   logging::logger agent_logger, proxy_logger;
   rpc::endpoint proxy_endpoint;
   std::optional<herontally::agent::node> agent;
-  // What the proxy knows, as hproxy keeps it.
+  // What the proxy knows, as proxy keeps it.
   std::int64_t revision = 0, engines_epoch = 0, engines_sequence = 0, members_version = 0;
 
   state(const runtime::backend& table, machine_terms given, std::shared_ptr<sightings> shared)
@@ -53,7 +53,7 @@
     if (fault) fprintf(stderr, "hscale: %s: %s\n", self->terms.name.c_str(), fault->c_str());
   }
 
-  // The questions of hproxy's feed: same message, same waits.
+  // The questions of proxy's feed: same message, same waits.
   static task<> feed(std::shared_ptr<state> self) {
     auto incarnation = self->proxy_runtime.wall();
     while (true) {
@@ -104,7 +104,7 @@
   auto& here = *state_;
   herontally::settings::settings place;
   place.name = here.terms.name;
-  place.role = "hagent";
+  place.role = "agent";
   place.zone = here.terms.zone;
   place.inner = here.terms.inner;
   place.http = here.terms.http;
--- a/src/hsim/faults.cc
+++ b/src/hsim/faults.cc
@@ -33,8 +33,8 @@
   if (kind == "cut") self.cut_some();
   if (kind == "split") self.split_core();
   if (kind == "zone") self.lose_zone();
-  if (kind == "store") self.replace("hstore", self.stores_replaced);
-  if (kind == "core") self.replace("hcore", self.cores_replaced);
+  if (kind == "store") self.replace("storage_node", self.stores_replaced);
+  if (kind == "core") self.replace("control_node", self.cores_replaced);
   if (kind == "roll") self.roll_engine();
   if (kind == "weights") self.change_weights();
   if (kind == "race") self.race_operators();
--- a/src/hsim/faults_aimed.cc
+++ b/src/hsim/faults_aimed.cc
@@ -8,13 +8,13 @@
 // another change races.
 void faults::state::retire_storage() {
   if (stores_replaced >= 1) return;
-  auto names = target.of_role("hstore");
+  auto names = target.of_role("storage_node");
   for (auto& name : names)
     if (!w().find(name).up || w().find(name).frozen) return;
   ++stores_replaced;
   auto leaving = pick(names);
   std::string spare = "store-spare";
-  target.add("hstore", spare, w().find(leaving).zone);
+  target.add("storage_node", spare, w().find(leaving).zone);
   auto how = w().draw(3);
   tell("retire " + leaving + (how == 1 ? ", its spare dies meanwhile" : how == 2 ? ", operators race" : ""));
   target.callers().spawn([](std::shared_ptr<state> self, std::string name) -> rt::task<> {
@@ -34,10 +34,10 @@
 }
 
 void faults::state::add_machine() {
-  std::string role = pick({"hproxy", "hcore", "hstore"});
-  std::string name = (role == "hproxy"  ? "door-x"
-                      : role == "hcore" ? "core-x"
-                                        : "store-x") +
+  std::string role = pick({"proxy", "control_node", "storage_node"});
+  std::string name = (role == "proxy"          ? "door-x"
+                      : role == "control_node" ? "core-x"
+                                               : "store-x") +
                      std::to_string(++spares);
   tell("add " + name);
   target.add(role, name, pick({"zone-a", "zone-b", "zone-c"}));
@@ -84,9 +84,9 @@
 // A machine with a disk is swapped for an empty one, and while that is filled a whole zone loses its power.
 void faults::state::replace_and_lose_zone() {
   if (w().draw(2))
-    replace("hstore", stores_replaced);
+    replace("storage_node", stores_replaced);
   else
-    replace("hcore", cores_replaced);
+    replace("control_node", cores_replaced);
   later(span(0.3, 9), [self = shared_from_this()] { self->lose_zone(); });
 }
 
@@ -118,7 +118,7 @@
 void faults::state::corrupt_disk() {
   bool store = w().draw(2);
   auto& count = store ? stores_replaced : cores_replaced;
-  auto names = target.of_role(store ? "hstore" : "hcore");
+  auto names = target.of_role(store ? "storage_node" : "control_node");
   for (auto& name : names)
     if (!w().find(name).up || w().find(name).frozen || count >= 1) return;
   ++count;
@@ -173,7 +173,7 @@
   tell(std::string("power goes at the next reply, at ") + (all ? "all disks" : "one disk"));
   on_next_reply = [self = shared_from_this(), all] {
     std::vector<std::string> names;
-    for (auto* role : {"hcore", "hstore"})
+    for (auto* role : {"control_node", "storage_node"})
       for (auto& name : self->target.of_role(role))
         if (!self->gone.contains(name)) names.push_back(name);
     if (!all) names = {self->pick(names)};
@@ -187,7 +187,7 @@
 // A door freezes right after one of its next messages, whatever it waits for then, while something changes
 // that it should have heard of.
 void faults::state::freeze_at_await() {
-  auto name = pick(target.of_role("hproxy"));
+  auto name = pick(target.of_role("proxy"));
   if (!w().find(name).up || w().find(name).frozen) return;
   w().find(name).sends_until_freeze = 1 + static_cast<int>(w().draw(40));
   auto change = w().draw(4);
--- a/src/hsim/faults_site.cc
+++ b/src/hsim/faults_site.cc
@@ -18,7 +18,7 @@
     boot_later(name, span(0.2, 3));
     return;
   }
-  std::string fresh = role == "hcore" ? "core-new" : "store-new";
+  std::string fresh = role == "control_node" ? "core-new" : "store-new";
   tell(name + " replaced by empty " + fresh);
   gone.insert(name);
   later(span(0.2, 4),
@@ -54,13 +54,13 @@
 
 void faults::state::race_operators() {
   tell("operators race");
-  for (auto& core : target.of_role("hcore"))
+  for (auto& core : target.of_role("control_node"))
     for (int each = 0; each < 2; ++each) target.callers().spawn(apply(core));
 }
 
 void faults::state::configure() {
   tell("configure");
-  target.callers().spawn(apply(pick(target.of_role("hcore"))));
+  target.callers().spawn(apply(pick(target.of_role("control_node"))));
 }
 
 void faults::state::evacuate() {
@@ -84,16 +84,16 @@
 
 // One edge machine hears nothing any more, while the state is changed and clients still reach its door.
 void faults::state::make_stale() {
-  auto agent = pick(target.of_role("hagent"));
+  auto agent = pick(target.of_role("agent"));
   tell("news cut off from " + agent);
   auto others = ours();
-  std::erase_if(others, [&](auto& name) { return target.role_of(name) == "hproxy" || name == agent; });
+  std::erase_if(others, [&](auto& name) { return target.role_of(name) == "proxy" || name == agent; });
   for (auto& other : others) {
     w().cut(agent, other);
     w().cut(other, agent);
   }
   later(500 * rt::millisecond, [self = shared_from_this()] {
-    self->target.callers().spawn(self->apply(self->pick(self->target.of_role("hcore"))));
+    self->target.callers().spawn(self->apply(self->pick(self->target.of_role("control_node"))));
   });
   later(span(6, 9), [self = shared_from_this(), agent, others] {
     for (auto& other : others) {
@@ -105,7 +105,7 @@
 
 // A door sleeps long enough for its programs to go on elsewhere, and then wakes.
 void faults::state::doze() {
-  auto name = pick(target.of_role("hproxy"));
+  auto name = pick(target.of_role("proxy"));
   if (!w().find(name).up || w().find(name).frozen) return;
   tell("doze " + name);
   w().freeze(name);
@@ -113,7 +113,7 @@
 }
 
 void faults::state::upset_disk() {
-  auto name = pick(target.of_role(w().draw(3) ? "hstore" : "hcore"));
+  auto name = pick(target.of_role(w().draw(3) ? "storage_node" : "control_node"));
   if (gone.contains(name)) return;
   auto how = w().draw(3);
   tell("disk of " + name + (how == 0 ? " slow" : how == 1 ? " full" : " failing"));
--- a/src/hsim/faults_state.h
+++ b/src/hsim/faults_state.h
@@ -31,7 +31,7 @@
     return names.empty() ? "" : names[w().draw(names.size())];
   }
   std::string pick_node() {
-    auto names = target.of_role(pick({"hcore", "hstore", "hagent", "hproxy", "engine"}));
+    auto names = target.of_role(pick({"control_node", "storage_node", "agent", "proxy", "engine"}));
     std::erase_if(names, [this](auto& name) { return gone.contains(name) || !w().find(name).up; });
     return pick(names);
   }
@@ -49,7 +49,7 @@
   }
   std::vector<std::string> ours() {
     std::vector<std::string> names;
-    for (auto* role : {"hcore", "hstore", "hagent", "hproxy"})
+    for (auto* role : {"control_node", "storage_node", "agent", "proxy"})
       for (auto& name : target.of_role(role))
         if (!gone.contains(name)) names.push_back(name);
     return names;
@@ -102,9 +102,9 @@
     cut_between({name}, others, both);
   }
   void split_core() {
-    auto cores = target.of_role("hcore");
+    auto cores = target.of_role("control_node");
     auto rest = ours();
-    std::erase_if(rest, [this](auto& name) { return target.role_of(name) == "hcore"; });
+    std::erase_if(rest, [this](auto& name) { return target.role_of(name) == "control_node"; });
     if (w().draw(2)) {
       tell("core cut off from all");
       cut_between(cores, rest, true);
--- a/src/hsim/measure.cc
+++ b/src/hsim/measure.cc
@@ -83,7 +83,7 @@
   where.run_until([&] { return done == branches + 1; }, 60 * rt::second);
   result.moved = sum(place, "engine", "herontally_engine_kv_bytes_in_total");
   result.computed = sum(place, "engine", "herontally_engine_tokens_computed_total") - computed;
-  result.named = sum(place, "hproxy", "herontally_pulls_named_total");
+  result.named = sum(place, "proxy", "herontally_pulls_named_total");
   return result;
 }
 
@@ -158,7 +158,7 @@
       auto newest = place.metric("core-1", "herontally_desired_revision");
       where.run_until(
           [&] {
-            for (auto& door : place.of_role("hproxy"))
+            for (auto& door : place.of_role("proxy"))
               if (place.metric(door, "herontally_desired_revision") < newest) return false;
             return true;
           },
@@ -188,7 +188,7 @@
     where.run_for(6 * rt::second);
     auto asked = [&](const char* kind) {
       double total = 0;
-      for (auto* role : {"hcore", "hstore", "hagent", "hproxy"})
+      for (auto* role : {"control_node", "storage_node", "agent", "proxy"})
         total += sum(place, role, std::string("herontally_inner_asked_total{kind=\"") + kind + "\"}");
       return total;
     };
--- a/src/hsim/measure_repair.cc
+++ b/src/hsim/measure_repair.cc
@@ -58,7 +58,7 @@
     run.where.run_for(10 * rt::second);
     auto total = [&](const std::string& name) {
       double sum = 0;
-      for (auto& each : run.place.of_role("hstore")) sum += run.place.metric(each, name);
+      for (auto& each : run.place.of_role("storage_node")) sum += run.place.metric(each, name);
       return sum;
     };
     auto asked = [&] {
@@ -79,32 +79,33 @@
   printf(
       "| lost | records | time to a new view s | time to full copies s | messages | bytes "
       "|\n|---|---|---|---|---|---|\n");
-  for (std::string role : {"hstore", "hcore"})
+  for (std::string role : {"storage_node", "control_node"})
     for (int records : {1000, 10000, 40000}) {
       filled_site run(33);
-      if (!run.begin(role == "hcore" ? 10 : records)) continue;
+      if (!run.begin(role == "control_node" ? 10 : records)) continue;
       run.where.run_for(6 * rt::second);
-      std::string lost = role == "hstore" ? "store-2" : "core-2";
+      std::string lost = role == "storage_node" ? "store-2" : "core-2";
       auto begun = run.where.now();
       auto messages = run.where.net().messages, bytes = run.where.net().bytes;
       run.where.kill(lost, disk_loss::all, true);
       run.where.run_for(500 * rt::millisecond);
       run.place.boot(lost);
-      auto voter = role == "hstore" ? "store-1" : "core-1";
+      auto voter = role == "storage_node" ? "store-1" : "core-1";
       run.where.run_until(
           [&] {
-            return role == "hstore" ? run.place.metric(voter, "herontally_view") >= 3
-                                    : run.place.metric(lost, "herontally_view") >= 3;
+            return role == "storage_node" ? run.place.metric(voter, "herontally_view") >= 3
+                                          : run.place.metric(lost, "herontally_view") >= 3;
           },
           120 * rt::second);
       double view = static_cast<double>(run.where.now() - begun) / rt::second;
       auto keys = [&](const std::string& name) { return run.place.metric(name, "herontally_voter_keys"); };
-      run.where.run_until([&] { return role == "hcore" || keys(lost) >= keys("store-1"); }, 120 * rt::second);
+      run.where.run_until([&] { return role == "control_node" || keys(lost) >= keys("store-1"); },
+                          120 * rt::second);
       double full = static_cast<double>(run.where.now() - begun) / rt::second;
-      printf("| %s | %d | %.1f | %.1f | %lld | %lld |\n", lost.c_str(), role == "hcore" ? 10 : records, view,
-             full, static_cast<long long>(run.where.net().messages - messages),
+      printf("| %s | %d | %.1f | %.1f | %lld | %lld |\n", lost.c_str(), role == "control_node" ? 10 : records,
+             view, full, static_cast<long long>(run.where.net().messages - messages),
              static_cast<long long>(run.where.net().bytes - bytes));
-      if (role == "hcore") break;
+      if (role == "control_node") break;
     }
 }
 
--- a/src/hsim/measure_site.cc
+++ b/src/hsim/measure_site.cc
@@ -107,7 +107,7 @@
       for (auto& name : run.place.of_role("engine"))
         if (name.rfind("model", 0) == 0)
           engines.push_back(run.place.metric(name, "herontally_engine_turns_total"));
-      for (auto& name : run.place.of_role("hproxy"))
+      for (auto& name : run.place.of_role("proxy"))
         doors.push_back(run.place.metric(name, "herontally_placements_total"));
       printf("| %d | %.0f | %lld | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f | %lld |\n", edges, rate,
              static_cast<long long>(run.complete), at(engines, 0), at(engines, 0.5), at(engines, 1),
--- a/src/hsim/measure_times.cc
+++ b/src/hsim/measure_times.cc
@@ -97,7 +97,7 @@
     emptied.values.push_back(last_inside);
 
     // Everything of ours goes down by power and starts again.
-    for (auto* role : {"hcore", "hstore", "hagent", "hproxy"})
+    for (auto* role : {"control_node", "storage_node", "agent", "proxy"})
       for (auto& name : place.of_role(role)) where.kill(name, disk_loss::unsynced, true);
     where.run_for(2 * rt::second);
     auto begun = where.now();
@@ -132,17 +132,17 @@
       return sum;
     };
     where.run_for(3 * rt::second);
-    double rounds = total("hproxy", "herontally_register_rounds_total"),
-           syncs = total("hstore", "herontally_disk_syncs_total");
-    double turns = total("hproxy", "herontally_turns_total{how=\"complete\"}");
+    double rounds = total("proxy", "herontally_register_rounds_total"),
+           syncs = total("storage_node", "herontally_disk_syncs_total");
+    double turns = total("proxy", "herontally_turns_total{how=\"complete\"}");
     keep_busy(place, judge, rate);
     where.run_for(20 * rt::second);
-    turns = total("hproxy", "herontally_turns_total{how=\"complete\"}") - turns;
-    rounds = total("hproxy", "herontally_register_rounds_total") - rounds;
-    syncs = total("hstore", "herontally_disk_syncs_total") - syncs;
+    turns = total("proxy", "herontally_turns_total{how=\"complete\"}") - turns;
+    rounds = total("proxy", "herontally_register_rounds_total") - rounds;
+    syncs = total("storage_node", "herontally_disk_syncs_total") - syncs;
     // Tool calls write receipts too; they are in the rounds.
     printf("| %.0f programs/s | %.0f | %.2f | %.2f | %.0f |\n", rate, turns, rounds / std::max(1.0, turns),
-           syncs / std::max(1.0, turns), total("hproxy", "herontally_register_collisions_total"));
+           syncs / std::max(1.0, turns), total("proxy", "herontally_register_collisions_total"));
   }
 }
 
--- a/src/hsim/probes.cc
+++ b/src/hsim/probes.cc
@@ -92,11 +92,11 @@
                              const std::set<std::string>& gone) {
   auto& where = place.where();
   std::vector<std::string> all, disks;
-  for (auto* role : {"hcore", "hstore", "hagent", "hproxy", "engine", "platform"})
+  for (auto* role : {"control_node", "storage_node", "agent", "proxy", "engine", "platform"})
     for (auto& name : place.of_role(role)) {
       if (!where.find(name).up && gone.contains(name)) continue;
       all.push_back(name);
-      if (role == std::string("hcore") || role == std::string("hstore")) disks.push_back(name);
+      if (role == std::string("control_node") || role == std::string("storage_node")) disks.push_back(name);
     }
   std::string empty = where.draw(2) ? disks[where.draw(disks.size())] : "";
   story.push_back(std::to_string(where.now() / 1000) + " ms: everything is lost" +
--- a/src/hsim/scenario.cc
+++ b/src/hsim/scenario.cc
@@ -102,7 +102,7 @@
   for (auto& name : place.of_role("engine"))
     moved += place.metric(name, "herontally_engine_kv_bytes_in_total");
   report.counts["bytes_moved"] = moved;
-  for (auto& name : place.of_role("hstore"))
+  for (auto& name : place.of_role("storage_node"))
     report.counts["views"][name] = place.metric(name, "herontally_view");
 }
 
--- a/src/hsim/site.cc
+++ b/src/hsim/site.cc
@@ -11,13 +11,13 @@
   auto& self = *state_;
   self.owner = this;
   for (int number = 0; number < self.choice.cores; ++number)
-    self.make("hcore", "core-" + std::to_string(number + 1), zones[number % 3]);
+    self.make("control_node", "core-" + std::to_string(number + 1), zones[number % 3]);
   for (int number = 0; number < self.choice.stores; ++number)
-    self.make("hstore", "store-" + std::to_string(number + 1), zones[number % 3]);
+    self.make("storage_node", "store-" + std::to_string(number + 1), zones[number % 3]);
   for (int number = 0; number < self.choice.edges; ++number) {
     std::string tail = std::to_string(number + 1);
-    self.make("hagent", "agent-" + tail, zones[number % 3]);
-    self.make("hproxy", "door-" + tail, zones[number % 3]).agent = self.places.at("agent-" + tail).inner;
+    self.make("agent", "agent-" + tail, zones[number % 3]);
+    self.make("proxy", "door-" + tail, zones[number % 3]).agent = self.places.at("agent-" + tail).inner;
   }
   self.make("platform", "platform", "");
   self.make("callers", "callers", "");
@@ -109,10 +109,10 @@
   auto& spot = self.places.at(name);
   // A process that starts anew counts anew.
   spot.logger = self.logger_of(name);
-  if (spot.role == "hcore") machine.node = self.start<ht::control_node::node>(spot);
-  if (spot.role == "hstore") machine.node = self.start<ht::storage_node::node>(spot);
-  if (spot.role == "hagent") machine.node = self.start<ht::agent::node>(spot);
-  if (spot.role == "hproxy") machine.node = self.start<ht::hproxy::node>(spot);
+  if (spot.role == "control_node") machine.node = self.start<ht::control_node::node>(spot);
+  if (spot.role == "storage_node") machine.node = self.start<ht::storage_node::node>(spot);
+  if (spot.role == "agent") machine.node = self.start<ht::agent::node>(spot);
+  if (spot.role == "proxy") machine.node = self.start<ht::proxy::node>(spot);
   if (spot.role == "engine") {
     auto node = std::make_shared<ht::simengine::node>(self.where.runtime_of(name), spot.engine, spot.logger);
     auto* judge = &self.judge;
@@ -154,9 +154,9 @@
 
 void site::add(const std::string& role, const std::string& name, const std::string& zone) {
   auto& spot = state_->make(role, name, zone);
-  if (role == "hproxy") {
+  if (role == "proxy") {
     std::string agent = "agent-of-" + name;
-    std::string address = state_->make("hagent", agent, zone).inner;
+    std::string address = state_->make("agent", agent, zone).inner;
     state_->places.at(name).agent = address;
     boot(agent);
   }
@@ -176,7 +176,7 @@
 }
 std::vector<std::string> site::doors() const {
   std::vector<std::string> addresses;
-  for (auto& name : of_role("hproxy")) addresses.push_back(state_->places.at(name).http);
+  for (auto& name : of_role("proxy")) addresses.push_back(state_->places.at(name).http);
   return addresses;
 }
 
@@ -186,7 +186,7 @@
 }
 
 bool site::doors_ready() {
-  for (auto& name : of_role("hproxy"))
+  for (auto& name : of_role("proxy"))
     if (!state_->where.find(name).up || metric(name, "herontally_fresh") < 1) return false;
   return true;
 }
@@ -200,8 +200,8 @@
   bool begun = false, applied = false;
   json groups{{"core", json::array()}, {"store", json::array()}};
   for (auto& [name, spot] : self.places) {
-    if (spot.role == "hcore" && groups["core"].size() < 3) groups["core"].push_back(spot.inner);
-    if (spot.role == "hstore" && groups["store"].size() < 3) groups["store"].push_back(spot.inner);
+    if (spot.role == "control_node" && groups["core"].size() < 3) groups["core"].push_back(spot.inner);
+    if (spot.role == "storage_node" && groups["store"].size() < 3) groups["store"].push_back(spot.inner);
   }
   callers().spawn([](site* own, std::string body, bool* done) -> rt::task<> {
     while (!*done) {
--- a/src/hsim/site_engines.cc
+++ b/src/hsim/site_engines.cc
@@ -106,14 +106,14 @@
   // Killed from outside its own task: what ends may not end itself.
   std::function<void()> over = [this, end] { state_->where.at(state_->where.now(), end); };
   auto role = role_of(name);
-  if (role == "hcore")
+  if (role == "control_node")
     runtime.spawn(leave(std::any_cast<std::shared_ptr<ht::control_node::node>>(machine.node), over));
-  if (role == "hstore")
+  if (role == "storage_node")
     runtime.spawn(leave(std::any_cast<std::shared_ptr<ht::storage_node::node>>(machine.node), over));
-  if (role == "hagent")
+  if (role == "agent")
     runtime.spawn(leave(std::any_cast<std::shared_ptr<ht::agent::node>>(machine.node), over));
-  if (role == "hproxy")
-    runtime.spawn(leave(std::any_cast<std::shared_ptr<ht::hproxy::node>>(machine.node), over));
+  if (role == "proxy")
+    runtime.spawn(leave(std::any_cast<std::shared_ptr<ht::proxy::node>>(machine.node), over));
   self.where.at(self.where.now() + 3 * rt::second, end);
 }
 
--- a/src/hsim/site_operators.cc
+++ b/src/hsim/site_operators.cc
@@ -97,14 +97,14 @@
 rt::task<> site::apply_until_done() {
   bool done = false;
   for (int attempt = 0; attempt < 60 && !done; ++attempt) {
-    auto cores = of_role("hcore");
+    auto cores = of_role("control_node");
     done = co_await apply_next(cores[static_cast<std::size_t>(attempt) % cores.size()]);
     if (!done) co_await callers().sleep(400 * rt::millisecond);
   }
 }
 
 rt::task<> site::change_zone(std::string zone, bool evacuate) {
-  auto cores = of_role("hcore");
+  auto cores = of_role("control_node");
   for (int attempt = 0; attempt < 10; ++attempt) {
     auto asked = state_->where.now();
     // An order to begin may still be under way and be acknowledged between two orders to end.
@@ -123,7 +123,7 @@
 rt::task<bool> site::retire(std::string node) {
   auto runtime = callers();
   for (int attempt = 0; attempt < 40; ++attempt) {
-    auto cores = of_role("hcore");
+    auto cores = of_role("control_node");
     auto core = cores[static_cast<std::size_t>(attempt) % cores.size()];
     auto begun = co_await operate(core, "PUT", "/v1/storage/" + node + "/retirement", "", "");
     // 409: it is under way already.
@@ -153,10 +153,10 @@
       own->state_->judge.revision_seen(name, body["revision"], asked);
   };
   while (true) {
-    for (auto* role : {"hproxy", "hagent", "hcore"})
+    for (auto* role : {"proxy", "agent", "control_node"})
       for (auto& name : of_role(role))
         runtime.spawn(look(this, name, state_->places.at(name).http,
-                           role == std::string("hcore") ? "/v1/desired" : "/readyz"));
+                           role == std::string("control_node") ? "/v1/desired" : "/readyz"));
     co_await runtime.sleep(500 * rt::millisecond +
                            static_cast<microseconds>(runtime.draw(300 * rt::millisecond)));
   }
--- a/src/hsim/site_state.h
+++ b/src/hsim/site_state.h
@@ -2,8 +2,8 @@
 #pragma once
 #include "agent/node.h"
 #include "control_node/node.h"
-#include "hproxy/node.h"
 #include "hsim/site.h"
+#include "proxy/node.h"
 #include "simplatform/node.h"
 #include "storage_node/node.h"
 
--- a/src/gateway/http.cc
+++ b/src/http_api/responses.cc
@@ -1,8 +1,8 @@
-#include "gateway/http.h"
+#include "http_api/responses.h"
 
 #include <sstream>
 
-namespace herontally::gateway {
+namespace herontally::http_api {
 
 std::vector<std::string> split_path(const std::string& path) {
   std::vector<std::string> parts;
@@ -71,4 +71,4 @@
   return found->second.substr(7);
 }
 
-}  // namespace herontally::gateway
+}  // namespace herontally::http_api
--- a/src/gateway/http.h
+++ b/src/http_api/responses.h
@@ -3,7 +3,7 @@
 #include "logging/logging.h"
 #include "runtime/runtime.h"
 
-namespace herontally::gateway {
+namespace herontally::http_api {
 
 using json = nlohmann::json;
 using writer = std::shared_ptr<runtime::http_writer>;
@@ -23,4 +23,4 @@
                   bool ready, json detail = json::object());
 std::string bearer(const runtime::inbound_request& incoming);
 
-}  // namespace herontally::gateway
+}  // namespace herontally::http_api
--- a/src/ledger/programs_state.h
+++ b/src/ledger/program_ledger_state.h
@@ -3,7 +3,7 @@
 #include <list>
 #include <unordered_map>
 
-#include "ledger/program_head.h"
+#include "ledger/program_record.h"
 
 namespace herontally::ledger {
 
@@ -34,7 +34,7 @@
   runtime::slot<outcome> done;
 };
 
-struct programs::state : std::enable_shared_from_this<programs::state> {
+struct program_ledger::state : std::enable_shared_from_this<program_ledger::state> {
   consensus::proposer stores;
   // A program is listed while its queue is worked through.
   std::unordered_map<std::string, std::vector<std::shared_ptr<program_operation>>> waiting;
@@ -42,8 +42,20 @@
   explicit state(consensus::proposer from) : stores(std::move(from)), cache(24u << 20) {}
   void enqueue(const std::string& program, std::shared_ptr<program_operation> operation);
   runtime::task<> work(std::string program);
+  // Operations of a batch whose time isn't over, and what they need of a round.
+  struct round_plan {
+    std::vector<std::shared_ptr<program_operation>> operations;
+    runtime::microseconds deadline = 0;  // the shortest one
+    bool urgent = false;
+  };
+  round_plan plan_round(std::vector<std::shared_ptr<program_operation>> batch) const;
   runtime::task<> apply(std::string program, std::vector<std::shared_ptr<program_operation>> batch);
-  // The records from this one back that one voter holds; `missing` on a quorum's word.
+  // Completes what the round decided, and puts the others back in front of the queue.
+  void finish_round(const std::string& program, const round_plan& round, consensus::change_status status,
+                    bool known);
+  // The records from this one back that one voter holds; `missing` on a quorum's part.
+  runtime::task<std::optional<chain_result>> fetch_round(std::string last, std::int64_t limit,
+                                                         runtime::microseconds deadline);
   runtime::task<chain_result> fetch(std::string last, std::int64_t limit, runtime::microseconds deadline);
 };
 
--- a/src/ledger/program_head.cc
+++ b/src/ledger/program_record.cc
@@ -1,4 +1,4 @@
-#include "ledger/program_head.h"
+#include "ledger/program_record.h"
 
 #include <charconv>
 #include <nlohmann/json.hpp>
@@ -6,12 +6,12 @@
 namespace herontally::ledger {
 
 namespace {
-constexpr std::int64_t microseconds_in_second = 1000000;
-constexpr std::int64_t idle_limit = 180 * microseconds_in_second;
-// A reservation may be of a turn that still runs; one that its node left behind goes with the head in the
+constexpr std::int64_t second = 1000000;
+constexpr std::int64_t max_idle_age = 180 * second;
+// A reservation may be of a turn that still runs; one that its node left behind goes with the record in the
 // end.
-constexpr std::int64_t open_limit = 900 * microseconds_in_second;
-constexpr std::size_t settled_kept = 16;
+constexpr std::int64_t max_open_age = 900 * second;
+constexpr std::size_t max_settled = 16;
 
 // Ids are bytes of others: keys, lines and JSON only get plain letters of them.
 std::string escaped(const std::string& text) {
@@ -26,7 +26,7 @@
   }
   return out;
 }
-std::optional<std::string> plain(const std::string& text) {
+std::optional<std::string> unescaped(const std::string& text) {
   std::string out;
   for (std::size_t position = 0; position < text.size(); ++position) {
     if (text[position] != '%') {
@@ -42,24 +42,24 @@
   }
   return out;
 }
-std::optional<std::int64_t> number_in(const std::string& text) {
+std::optional<std::int64_t> parse_number(const std::string& text) {
   std::int64_t value = 0;
   auto end = text.data() + text.size();
   auto read = std::from_chars(text.data(), end, value);
   if (read.ec != std::errc{} || read.ptr != end) return std::nullopt;
   return value;
 }
-std::vector<std::string> words_of(const std::string& text) {
-  std::vector<std::string> words;
+std::vector<std::string> split_at_spaces(const std::string& text) {
+  std::vector<std::string> parts;
   std::size_t begin = 0;
   while (begin <= text.size()) {
     auto end = std::min(text.find(' ', begin), text.size());
-    words.push_back(text.substr(begin, end - begin));
+    parts.push_back(text.substr(begin, end - begin));
     begin = end + 1;
   }
-  return words;
+  return parts;
 }
-nlohmann::json head_line(std::string_view text) {
+nlohmann::json first_line(std::string_view text) {
   return nlohmann::json::parse(
       text.begin(), text.begin() + static_cast<std::ptrdiff_t>(std::min(text.find('\n'), text.size())),
       nullptr, false);
@@ -67,43 +67,43 @@
 }  // namespace
 
 // "1 spent changed (turn=amount | -turn)*": a later form begins with another number.
-std::string to_text(const program_head& content) {
+std::string to_text(const program_record& content) {
   std::string out = "1 " + std::to_string(content.spent) + " " + std::to_string(content.changed);
   for (auto& [turn, amount] : content.open) out += " +" + std::to_string(amount) + "=" + escaped(turn);
-  std::size_t skipped = content.settled.size() > settled_kept ? content.settled.size() - settled_kept : 0;
+  std::size_t skipped = content.settled.size() > max_settled ? content.settled.size() - max_settled : 0;
   for (auto position = skipped; position < content.settled.size(); ++position)
     out += " -" + escaped(content.settled[position]);
   return out;
 }
 
-std::optional<program_head> program_head_from(const std::string& text) {
-  auto words = words_of(text);
-  if (words.size() < 3 || words[0] != "1") return std::nullopt;
-  program_head content;
-  auto spent = number_in(words[1]), changed = number_in(words[2]);
+std::optional<program_record> program_record_from_text(const std::string& text) {
+  auto parts = split_at_spaces(text);
+  if (parts.size() < 3 || parts[0] != "1") return std::nullopt;
+  program_record content;
+  auto spent = parse_number(parts[1]), changed = parse_number(parts[2]);
   if (!spent || !changed) return std::nullopt;
   content.spent = *spent;
   content.changed = *changed;
-  for (std::size_t position = 3; position < words.size(); ++position) {
-    auto& word = words[position];
-    if (word.empty()) return std::nullopt;
-    auto equals = word[0] == '+' ? word.find('=') : 0;
+  for (std::size_t position = 3; position < parts.size(); ++position) {
+    auto& part = parts[position];
+    if (part.empty()) return std::nullopt;
+    auto equals = part[0] == '+' ? part.find('=') : 0;
     if (equals == std::string::npos) return std::nullopt;
-    auto turn = plain(word.substr(equals + 1));
+    auto turn = unescaped(part.substr(equals + 1));
     if (!turn) return std::nullopt;
-    if (word[0] == '-') {
+    if (part[0] == '-') {
       content.settled.push_back(*turn);
       continue;
     }
-    auto amount = word[0] == '+' ? number_in(word.substr(1, equals - 1)) : std::nullopt;
+    auto amount = part[0] == '+' ? parse_number(part.substr(1, equals - 1)) : std::nullopt;
     if (!amount) return std::nullopt;
     content.open[*turn] = *amount;
   }
   return content;
 }
 
-bool is_overdue(const program_head& content, std::int64_t wall) {
-  return wall > content.changed + (content.open.empty() ? idle_limit : open_limit);
+bool is_expired(const program_record& content, std::int64_t wall) {
+  return wall > content.changed + (content.open.empty() ? max_idle_age : max_open_age);
 }
 
 std::string program_key(const std::string& program) { return program_prefix + escaped(program); }
@@ -122,15 +122,15 @@
   return out;
 }
 
-std::optional<turn_record> turn_record_from(const std::string& text) {
-  auto line = head_line(text);
+std::optional<turn_record> turn_record_from_text(const std::string& text) {
+  auto line = first_line(text);
   auto begin = text.find('\n');
   if (!line.is_object() || begin == std::string::npos) return std::nullopt;
   ++begin;
   try {
     turn_record content;
-    auto id = plain(line.at("id").get<std::string>());
-    auto previous = plain(line.at("previous").get<std::string>());
+    auto id = unescaped(line.at("id").get<std::string>());
+    auto previous = unescaped(line.at("previous").get<std::string>());
     auto input = line.at("input").get<std::size_t>();
     if (!id || !previous || input > text.size() - begin) return std::nullopt;
     content.id = *id;
@@ -149,13 +149,13 @@
 }
 
 std::string previous_key_of(const std::string& text) {
-  auto line = head_line(text);
+  auto line = first_line(text);
   if (!line.is_object() || !line.contains("previous") || !line["previous"].is_string()) return "";
   return line["previous"].get<std::string>();
 }
 
 std::optional<std::int64_t> kept_until_of(std::string_view text) {
-  auto line = head_line(text);
+  auto line = first_line(text);
   if (!line.is_object() || !line.contains("kept_until") || !line["kept_until"].is_number_integer())
     return std::nullopt;
   return line["kept_until"].get<std::int64_t>();
--- a/src/platform_protocol/adapter.h
+++ b/src/platform_protocol/adapter.h
@@ -1,5 +1,6 @@
-// How a deployment's surroundings speak: names and formats, as functions over the product's own words. A
-// dialect decides nothing. The product has none of its own beyond its interface; `platform/` makes one.
+// How the platform around a deployment is talked to: its names and formats, as functions over the product's
+// own types. An adapter decides nothing. The product has none beyond its own interface; `platform/` makes
+// one.
 #pragma once
 #include <functional>
 #include <map>
@@ -30,19 +31,29 @@
 // What an engine's answer says of itself.
 struct response_metadata {
   std::string attempt, instance;
-  bool not_run = false;  // the engine promises that it did not run the request
-  bool sealed = false;   // it carries the engine's stamp
-  bool leaving = false;  // the engine said that it will close
-  std::int64_t cold_ms = -1;
+  bool not_run = false;                       // the engine promises that it did not run the request
+  bool sealed = false;                        // it carries the engine's stamp
+  bool leaving = false;                       // the engine said that it will close
+  std::int64_t slow_start_milliseconds = -1;  // that are left; -1: not said
 };
 
 // An engine as the platform lists it.
 struct listed_engine {
   std::string id, service, address, zone, release;
-  std::int64_t capacity = 1, cold_ms = 0;
+  std::int64_t capacity = 1;
+  std::int64_t slow_start_milliseconds = 0;  // that are left of its slow start
   bool draining = false;
-  NLOHMANN_DEFINE_TYPE_INTRUSIVE_WITH_DEFAULT(listed_engine, id, service, address, zone, release, capacity,
-                                              cold_ms, draining)
+
+  static constexpr bool missing_keys_allowed = true;
+  static constexpr auto json_fields() {
+    using serialization::json_field;
+    return std::make_tuple(
+        json_field(&listed_engine::id, "id"), json_field(&listed_engine::service, "service"),
+        json_field(&listed_engine::address, "address"), json_field(&listed_engine::zone, "zone"),
+        json_field(&listed_engine::release, "release"), json_field(&listed_engine::capacity, "capacity"),
+        json_field(&listed_engine::slow_start_milliseconds, "cold_ms"),
+        json_field(&listed_engine::draining, "draining"));
+  }
 };
 struct list_page {
   std::vector<listed_engine> engines;
@@ -54,7 +65,7 @@
   std::int64_t running = 0, waiting = 0, memory_used = 0, memory = 0;
 };
 
-// The operator's calls, in the product's words.
+// The operator's calls, in the product's types.
 struct change_command {
   std::int64_t expected = -1;  // the operator's version that it builds on; 0: none yet; -1: not said
   bool partial = false;
@@ -78,7 +89,7 @@
 using command = std::variant<unknown_command, change_command, read_command, evacuate_command, retire_command,
                              retire_status_command>;
 
-// How a call ended; the dialect puts it into a status and a body.
+// How a call ended; the adapter puts it into a status and a body.
 enum class command_status {
   done,
   rolling,
@@ -111,7 +122,7 @@
   std::function<void(std::map<std::string, std::string>& headers, const std::string& engine,
                      std::int64_t time_left, std::int64_t urgency)>
       address_request;
-  // Tells a caller when to come back, in milliseconds.
+  // Tells a client when to retry, in milliseconds.
   std::function<void(std::map<std::string, std::string>& headers, std::int64_t milliseconds)> set_retry_after;
   // The header that an engine's answer carries back, lower case.
   std::string echo_header;
--- a/src/gateway/plan.cc
+++ b/src/proxy/attempt_plan.cc
@@ -1,6 +1,6 @@
-#include "gateway/plan.h"
+#include "proxy/attempt_plan.h"
 
-namespace herontally::gateway {
+namespace herontally::proxy {
 
 using runtime::millisecond;
 using runtime::second;
@@ -19,7 +19,7 @@
     each.weights = row.weights;
     each.live = row.listed && row.answers;
     each.draining = row.leaving || row.draining;
-    each.evacuated = context.state.evacuated_zones.contains(row.zone);
+    each.evacuated = context.config.evacuated_zones.contains(row.zone);
     each.reported = row.queue + row.running;
     each.queue = row.queue;
     each.unseen = row.unseen;
@@ -44,6 +44,15 @@
   return identity;
 }
 
+// What both kinds of plans share: the caps are divided among the proxies.
+static void share_caps(placement::question& asked, const planning_context& context) {
+  asked.proxies = context.ranks.proxies;
+  asked.rank = context.ranks.rank;
+  asked.proxies_before = context.ranks.previous_proxies;
+  asked.rank_before = context.ranks.previous_rank;
+  asked.avoid = context.avoid;
+}
+
 static placement::question question_of(const turn_subject& subject, const planning_context& context) {
   placement::question asked;
   asked.weights = subject.model.weights;
@@ -55,12 +64,8 @@
   asked.pulls_per_lender = subject.model.pulls_per_lender;
   asked.pulls_per_borrower = subject.model.pulls_per_borrower;
   asked.warm_seconds = subject.model.warm_seconds;
-  asked.proxies = context.proxies;
-  asked.rank = context.rank;
-  asked.proxies_before = context.proxies_before;
-  asked.rank_before = context.rank_before;
-  asked.avoid = context.avoid;
-  asked.table = context.state.partners.at(subject.partner).table_of(subject.settings.table);
+  share_caps(asked, context);
+  asked.table = context.config.partners.at(subject.partner).table_of(subject.settings.table);
   // A sharing table's lead goes before the model's own.
   asked.min_cached_token_delta = subject.model.min_cached_token_delta;
   auto own = asked.table.min_cached_token_delta.find(subject.model.name);
@@ -72,7 +77,7 @@
 static void name_source(turn_plan& plan, const placement::engine& source, std::size_t source_blocks,
                         double pull_seconds) {
   plan.source = source.number;
-  plan.foretold_blocks = source_blocks - std::min(source_blocks, plan.destination_blocks);
+  plan.expected_blocks = source_blocks - std::min(source_blocks, plan.destination_blocks);
   plan.order.source = source.address;
   // Only what the destination lacks is asked for.
   for (std::size_t position = plan.destination_blocks; position < source_blocks; ++position)
@@ -80,7 +85,7 @@
   // Counted from the turn's arrival at its destination, and never longer than a lender that begins to leave
   // may still be asked for: 3 s less the age that our knowledge may have.
   plan.order.pull_milliseconds =
-      std::min<std::int64_t>(longest_pull_milliseconds, static_cast<std::int64_t>(pull_seconds * 1000));
+      std::min<std::int64_t>(max_pull_milliseconds, static_cast<std::int64_t>(pull_seconds * 1000));
 }
 
 std::variant<turn_plan, unplanned> plan_turn(const turn_subject& subject, const planning_context& context,
@@ -98,7 +103,7 @@
   auto made = placement::place(asked, engines, random);
   if (!made) return placement::could_serve(asked, engines) ? unplanned::busy : unplanned::hopeless;
   const auto& destination = engines[made->destination];
-  plan.desired_revision = context.state.revision;
+  plan.config_revision = context.config.revision;
   plan.attempt = context.attempt;
   plan.destination = destination.number;
   plan.destination_name = destination.name;
@@ -122,17 +127,13 @@
   placement::question asked;
   asked.most_at_once = subject.application.calls_per_engine;
   asked.warm_seconds = subject.application.warm_seconds;
-  asked.proxies = context.proxies;
-  asked.rank = context.rank;
-  asked.proxies_before = context.proxies_before;
-  asked.rank_before = context.rank_before;
-  asked.avoid = context.avoid;
-  asked.table = context.state.partners.at(subject.partner).table_of(subject.route.table);
+  share_caps(asked, context);
+  asked.table = context.config.partners.at(subject.partner).table_of(subject.route.table);
   auto made = placement::place(asked, engines, random);
   if (!made) return std::nullopt;
   const auto& destination = engines[made->destination];
   call_plan plan;
-  plan.desired_revision = context.state.revision;
+  plan.config_revision = context.config.revision;
   plan.attempt = context.attempt;
   plan.destination = destination.number;
   plan.destination_name = destination.name;
@@ -147,4 +148,4 @@
   return plan;
 }
 
-}  // namespace herontally::gateway
+}  // namespace herontally::proxy
--- a/src/gateway/plan.h
+++ b/src/proxy/attempt_plan.h
@@ -1,28 +1,28 @@
-// The plan of one attempt: made as data, without I/O, then carried out as it stands.
+// The plan of one attempt of a turn or a call: made as data, without I/O, then carried out as it stands.
 #pragma once
 #include "engine/completion.h"
 #include "engine/watch.h"
 #include "placement/placement.h"
 #include "runtime/runtime.h"
 
-namespace herontally::gateway {
+namespace herontally::proxy {
 
-constexpr std::int64_t longest_pull_milliseconds = 1400;
+constexpr std::int64_t max_pull_milliseconds = 1400;
 
 struct turn_plan {
-  std::int64_t desired_revision = 0;  // the view of the desired state that it was made under
+  std::int64_t config_revision = 0;  // of the configuration that it was made under
   int attempt = 1;
   interning::symbol destination = 0;
   std::string destination_name;
   std::optional<interning::symbol> source;
-  std::size_t foretold_blocks = 0, destination_blocks = 0;
+  std::size_t expected_blocks = 0, destination_blocks = 0;
   std::vector<std::string> hashes;
   engine::turn_order order;
   runtime::microseconds deadline = 0, lease_end = 0;
 };
 
 struct call_plan {
-  std::int64_t desired_revision = 0;
+  std::int64_t config_revision = 0;
   int attempt = 1;
   interning::symbol destination = 0;
   std::string destination_name, address;
@@ -30,12 +30,19 @@
   runtime::microseconds deadline = 0;
 };
 
+// This proxy's rank among those that share each engine's caps, and how many they are. While the agreed list
+// of edges changes, the previous one counts as well. Rank -1: not listed, so that there is no share.
+struct proxy_ranks {
+  std::int64_t proxies = 1, rank = -1;
+  std::int64_t previous_proxies = 0, previous_rank = -1;
+};
+
 // What planning looks at besides the engines.
 struct planning_context {
-  const configuration::snapshot& state;
-  std::int64_t proxies = 1, rank = 0, proxies_before = 0, rank_before = 0;
+  const configuration::snapshot& config;
+  proxy_ranks ranks;
   runtime::microseconds now = 0;
-  std::vector<interning::symbol> avoid;
+  std::vector<interning::symbol> avoid;  // engines that earlier attempts of this request failed on
   int attempt = 1;
 };
 
@@ -52,8 +59,11 @@
   std::int64_t most_tokens = 0;
   runtime::microseconds deadline = 0, lease_end = 0;
 };
-// Why there is no plan: engines are busy, or none is there that could ever take it.
-enum class unplanned { busy, hopeless };
+// Why there is no plan.
+enum class unplanned {
+  busy,      // engines are there, without capacity now
+  hopeless,  // no engine is there that could ever take it
+};
 std::variant<turn_plan, unplanned> plan_turn(const turn_subject& subject, const planning_context& context,
                                              const std::vector<engine::engine_row>& rows,
                                              const prefix::index& held, std::mt19937_64& random);
@@ -67,4 +77,4 @@
 std::optional<call_plan> plan_call(const call_subject& subject, const planning_context& context,
                                    const std::vector<engine::engine_row>& rows, std::mt19937_64& random);
 
-}  // namespace herontally::gateway
+}  // namespace herontally::proxy
--- /dev/null
+++ b/src/proxy/config_follower.cc
@@ -0,0 +1,100 @@
+#include "proxy/config_follower.h"
+
+#include <algorithm>
+
+#include "membership/member_list.h"
+
+namespace herontally::proxy {
+
+constexpr std::int64_t poll_wait_milliseconds = 150;
+constexpr microseconds poll_timeout = 600 * millisecond;
+constexpr microseconds retry_pause = 100 * millisecond;
+
+void config_follower::take_members(const rpc::config_update_reply& reply) {
+  auto members = membership::members_from_text(reply.members);
+  if (members.empty()) return;
+  context_->members = std::move(members);
+  members_version_ = reply.members_version;
+  for (auto& member : context_->members)
+    if (member.role == rpc::node_role::agent && member.inner == context_->place.agent)
+      agent_name_ = member.name;
+}
+
+// The agreed list of edges decides, not the membership: proxies with different views of who lives would hand
+// out more than the cap between them. A proxy that isn't listed yet has no share.
+void config_follower::update_ranks() {
+  auto rank_in = [this](const std::vector<std::string>& edges) -> std::int64_t {
+    auto own = std::find(edges.begin(), edges.end(), agent_name_);
+    return own == edges.end() ? -1 : own - edges.begin();
+  };
+  auto& config = *context_->config;
+  auto& ranks = context_->ranks;
+  ranks.rank = rank_in(config.edges);
+  ranks.proxies = std::max<std::int64_t>(1, static_cast<std::int64_t>(config.edges.size()));
+  ranks.previous_rank = rank_in(config.previous_edges);
+  ranks.previous_proxies = static_cast<std::int64_t>(config.previous_edges.size());
+}
+
+bool config_follower::take_config(const rpc::config_update_reply& reply) {
+  auto& shared = *context_;
+  if (reply.config.empty() || reply.revision <= revision()) return false;
+  auto content = configuration::record_from_text(reply.config);
+  if (!content) return false;
+  shared.config = configuration::snapshot_of(*content);
+  shared.trace.add(content->revision, "in force", "agent");
+  shared.logger.info("configuration in force", {{"revision", content->revision}});
+  shared.logger.gauge("herontally_desired_revision", static_cast<double>(content->revision));
+  shared.capacity.notify_all();
+  return true;
+}
+
+void config_follower::take(const rpc::config_update_reply& reply, microseconds asked) {
+  auto& shared = *context_;
+  bool own_protocol = !shared.platform.adapter;
+  if (!reply.members.empty()) take_members(reply);
+  if (!reply.engines.empty()) {
+    engines_epoch_ = reply.engines_epoch;
+    engines_sequence_ = reply.engines_sequence;
+    if (own_protocol) shared.engines.list(reply.engines);
+  }
+  if (own_protocol) shared.engines.leaving(reply.draining_engines);
+  bool changed = take_config(reply);
+  if (shared.config) update_ranks();
+  on_update_(reply, changed);
+  // The agent vouches for its knowledge as of some moment before it replied.
+  if (reply.age_milliseconds >= 0 && revision() >= reply.revision)
+    shared.fresh_at = std::max(shared.fresh_at, asked - reply.age_milliseconds * millisecond);
+}
+
+rpc::config_update_request config_follower::next_request() const {
+  rpc::config_update_request request;
+  request.node = context_->place.name;
+  request.revision = revision();
+  request.applied_revision = revision();
+  request.engines_epoch = engines_epoch_;
+  request.engines_sequence = engines_sequence_;
+  request.wait_milliseconds = poll_wait_milliseconds;
+  request.incarnation = context_->incarnation;
+  request.http = context_->place.inner;
+  request.members_version = members_version_;
+  return request;
+}
+
+task<> config_follower::run() {
+  auto self = shared_from_this();
+  auto shared = self->context_;
+  while (true) {
+    auto asked = shared->runtime.now();
+    auto result = co_await shared->endpoint.call(shared->place.agent, self->next_request(), poll_timeout);
+    auto* reply = std::get_if<rpc::config_update_reply>(&result);
+    if (reply)
+      self->take(*reply, asked);
+    else
+      co_await shared->runtime.sleep(retry_pause);
+    shared->logger.gauge("herontally_news_age_milliseconds",
+                         static_cast<double>((shared->runtime.now() - shared->fresh_at) / millisecond));
+    shared->logger.gauge("herontally_fresh", shared->is_fresh() ? 1 : 0);
+  }
+}
+
+}  // namespace herontally::proxy
--- /dev/null
+++ b/src/proxy/platform_ingress.cc
@@ -0,0 +1,89 @@
+#include "proxy/platform_ingress.h"
+
+namespace herontally::proxy {
+
+namespace {
+
+router::router_options options_of(const context& shared) {
+  router::router_options options;
+  options.zone = shared.place.zone;
+  options.min_cached_token_delta = shared.platform.min_cached_token_delta;
+  return options;
+}
+
+}  // namespace
+
+platform_ingress::platform_ingress(std::shared_ptr<context> shared)
+    : context_(shared),
+      router_(shared->runtime, shared->logger, shared->platform.adapter,
+              ledger::program_ledger(shared->stores), options_of(*shared)) {}
+
+bool platform_ingress::is_ready() const {
+  // Without a view of the ledger's stores no turn could be taken.
+  return router_.ready() && context_->stores.current_view().number > 0;
+}
+
+std::optional<std::string> platform_ingress::open() {
+  std::weak_ptr<platform_ingress> weak = weak_from_this();
+  auto& place = context_->place;
+  auto& runtime = context_->runtime;
+  auto serve_client = [weak](runtime::inbound_request request, http_api::writer out) {
+    auto self = weak.lock();
+    if (self) self->context_->runtime.spawn(self->router_.serve(std::move(request), std::move(out)));
+  };
+  if (!runtime.http_serve(place.ingress, serve_client))
+    return "ingress can't be listened on: " + place.ingress;
+  auto serve_readiness = [weak](runtime::inbound_request request, http_api::writer out) {
+    auto self = weak.lock();
+    if (!self) return;
+    runtime::http_response response;
+    response.status = self->is_ready() ? 200 : 503;
+    if (request.path != self->context_->platform.adapter->ready_path) response.status = 404;
+    out->reply(std::move(response));
+  };
+  if (!runtime.http_serve(place.readiness, serve_readiness))
+    return "readiness can't be listened on: " + place.readiness;
+  return std::nullopt;
+}
+
+void platform_ingress::take_update(const rpc::config_update_reply& reply, bool changed) {
+  auto& shared = *context_;
+  if (changed && shared.config && shared.config->routing)
+    router_.set_routing(*shared.config->routing, shared.config->evacuated_zones);
+  router_.set_engines(reply.engines, reply.draining_engines);
+  std::int64_t live = 0;
+  for (auto& member : shared.members)
+    if (member.role == rpc::node_role::proxy && member.is_live()) ++live;
+  // By the agreed list of edges, not the membership: nodes with different views of who lives would send more
+  // than the rate between them.
+  auto& ranks = shared.ranks;
+  router_.set_nodes(
+      live, {shared.config ? ranks.proxies : 0, ranks.rank, ranks.previous_proxies, ranks.previous_rank});
+  // Readiness asks for the view of the stores before any client does.
+  if (shared.stores.current_view().number == 0)
+    shared.runtime.spawn(shared.stores.refresh_view(shared.runtime.now() + second));
+}
+
+task<> platform_ingress::drain() {
+  constexpr microseconds calm_time = 200 * millisecond;
+  constexpr microseconds poll_period = 20 * millisecond;
+  // New connections come until the platform has missed our readiness twice.
+  constexpr std::int64_t max_arrival_milliseconds = 2500;
+  constexpr std::int64_t reserve_milliseconds = 300;
+  // What is in flight gets the time that is left, and nobody else.
+  constexpr microseconds closing_time = 2 * second;
+  auto self = shared_from_this();
+  auto& runtime = self->context_->runtime;
+  auto notice = self->context_->place.notice_milliseconds;
+  self->router_.drain();
+  auto last = runtime.now() + (notice - reserve_milliseconds) * millisecond;
+  co_await runtime.sleep(std::min<std::int64_t>(max_arrival_milliseconds, notice / 2) * millisecond);
+  auto calm_since = runtime.now();
+  while (runtime.now() < last && runtime.now() - calm_since < calm_time) {
+    co_await runtime.sleep(poll_period);
+    if (runtime.now() > last - closing_time) self->router_.close();
+    if (self->router_.in_flight() > 0) calm_since = runtime.now();
+  }
+}
+
+}  // namespace herontally::proxy
--- /dev/null
+++ b/src/proxy/platform_ingress.h
@@ -0,0 +1,27 @@
+// Internal to the proxy: its side towards the users' platform, where an adapter translates: clients' requests
+// by the routing table, and readiness.
+#pragma once
+#include "proxy/context.h"
+#include "router/request_router.h"
+
+namespace herontally::proxy {
+
+class platform_ingress : public std::enable_shared_from_this<platform_ingress> {
+ public:
+  explicit platform_ingress(std::shared_ptr<context> shared);
+  // Listens at the addresses that the settings name; the result tells what stands in the way, if anything.
+  std::optional<std::string> open();
+  // Hands an update from the agent to the router. `changed`: it brought a new configuration.
+  void take_update(const rpc::config_update_reply& reply, bool changed);
+  // Ends once nothing has been in flight for a moment: clients that still hold a connection may send another
+  // request on it, which is served then and told to be the last.
+  task<> drain();
+
+ private:
+  bool is_ready() const;
+
+  std::shared_ptr<context> context_;
+  router::request_router router_;
+};
+
+}  // namespace herontally::proxy
--- /dev/null
+++ b/src/proxy/turn_attempt.cc
@@ -0,0 +1,166 @@
+#include "proxy/turn_attempt.h"
+
+#include <algorithm>
+
+#include "runtime/breaks.h"
+
+namespace herontally::proxy {
+
+namespace {
+
+// How often an attempt looks up while its engine says nothing.
+constexpr microseconds poll_period = 400 * millisecond;
+constexpr microseconds max_silence = 10 * second;
+// An engine that doesn't answer its reports either is given up sooner.
+constexpr microseconds max_silence_unreported = 2 * second;
+
+}  // namespace
+
+in_flight_guard turn_attempt::occupy_engines() {
+  auto destination = plan_.destination;
+  auto source = plan_.source;
+  auto& row = context_->engines.row(destination);
+  ++row.unseen;
+  ++row.ours;
+  if (source) {
+    ++row.our_borrows;
+    ++context_->engines.row(*source).our_pulls;
+  }
+  return in_flight_guard([weak = std::weak_ptr<context>(context_), destination, source] {
+    auto shared = weak.lock();
+    if (!shared) return;
+    --shared->engines.row(destination).ours;
+    if (source) {
+      --shared->engines.row(destination).our_borrows;
+      --shared->engines.row(*source).our_pulls;
+    }
+    shared->capacity.notify_all();
+  });
+}
+
+std::optional<attempt_outcome> turn_attempt::ended_from_outside() const {
+  auto now = context_->runtime.now();
+  // A proxy that was frozen past its lease may have been superseded: it passes nothing on any more.
+  if (now >= plan_.lease_end) return attempt_outcome::lease_over;
+  if (now >= plan_.deadline) return attempt_outcome::failed;
+  if (turn_.out->closed()) return attempt_outcome::client_gone;
+  return std::nullopt;
+}
+
+attempt_outcome turn_attempt::give_up(attempt_outcome how) {
+  context_->runtime.spawn(context_->linger(std::move(occupied_), plan_.destination));
+  return how;
+}
+
+std::optional<attempt_outcome> turn_attempt::take_piece(engine::piece& next) {
+  auto& progress = *progress_;
+  auto& shared = *context_;
+  heard_ = shared.runtime.now();
+  // The reservation bounds what is put out, whatever the engine sends.
+  auto left = static_cast<std::size_t>(turn_.most_tokens) - progress.tokens.size();
+  if (next.tokens.size() > left) next.tokens.resize(left);
+  if (next.tokens.empty()) return std::nullopt;
+  output_.insert(output_.end(), next.tokens.begin(), next.tokens.end());
+  progress.tokens.insert(progress.tokens.end(), next.tokens.begin(), next.tokens.end());
+  progress.text += next.text;
+  shared.logger.count("herontally_tokens_streamed_total", static_cast<double>(next.tokens.size()));
+  send_piece(turn_, progress, next);
+  auto max_backlog = static_cast<std::size_t>(shared.config->limit.client_buffer_kilobytes) * 1024;
+  if (turn_.out->backlog() <= max_backlog) return std::nullopt;
+  shared.logger.count("herontally_slow_clients_cut_total");
+  return attempt_outcome::too_slow;
+}
+
+void turn_attempt::correct_prefixes(const engine::summary& last) {
+  auto& prefixes = context_->prefixes;
+  if (plan_.source) {
+    auto found = static_cast<std::size_t>(std::max<std::int64_t>(0, last.blocks_found));
+    // A lender that broke off proved nothing about what it holds; one that answered did.
+    if (!last.pull_failed)
+      prefixes.correct(*plan_.source, plan_.order.source_blocks, found, plan_.order.source_blocks.size());
+    else
+      prefixes.correct(*plan_.source, {}, 0, 1);
+  }
+  auto block_tokens = std::max<std::int64_t>(1, plan_.order.identity.block_tokens);
+  auto cached = static_cast<std::size_t>(last.cached_tokens / block_tokens);
+  auto expected = plan_.destination_blocks;
+  if (expected > 0) prefixes.correct(plan_.destination, {}, std::min(cached, expected), expected);
+}
+
+void turn_attempt::take_summary(const engine::summary& last) {
+  auto& shared = *context_;
+  auto now = shared.runtime.now();
+  constexpr double weight_of_new = 0.1;
+  double took = static_cast<double>(now - begun_) / second;
+  shared.turn_seconds = (1 - weight_of_new) * shared.turn_seconds + weight_of_new * took;
+  auto whole = plan_.order.prompt;
+  whole.insert(whole.end(), output_.begin(), output_.end());
+  shared.prefixes.note(plan_.destination, prefix::block_hashes(plan_.order.identity, whole), now);
+  auto& logger = shared.logger;
+  logger.count("herontally_prompt_tokens_total", static_cast<double>(last.prompt_tokens));
+  logger.count("herontally_cached_tokens_total", static_cast<double>(last.cached_tokens));
+  if (plan_.source) {
+    logger.count("herontally_pull_bytes_total", static_cast<double>(last.bytes_moved));
+    logger.count("herontally_pull_blocks_found_total", static_cast<double>(last.blocks_found));
+    logger.count("herontally_pull_blocks_missed_total",
+                 static_cast<double>(last.blocks_asked - last.blocks_found));
+    if (last.pull_failed) logger.count("herontally_pull_fallbacks_total");
+  }
+  correct_prefixes(last);
+}
+
+void turn_attempt::note_failure(const engine::failure& failed) {
+  auto& shared = *context_;
+  shared.logger.warn(
+      "attempt failed",
+      {{"request_id", turn_.request_id}, {"engine", plan_.destination_name}, {"why", failed.why}});
+  shared.logger.count("herontally_attempts_failed_total");
+  shared.prefixes.forget(plan_.destination);
+  bool not_sent = !failed.ran && failed.status == 0;
+  if (!not_sent) return;
+  // Not one byte reached it, so that this attempt has told no engine anything.
+  progress_->engine_heard = engine_heard_before_;
+  shared.engines.failed(plan_.destination);
+}
+
+bool turn_attempt::is_silent() const {
+  auto silence = context_->runtime.now() - heard_;
+  bool reports = context_->engines.row(plan_.destination).answers;
+  return silence > max_silence || (silence > max_silence_unreported && !reports);
+}
+
+task<attempt_outcome> turn_attempt::run() {
+  auto self = shared_from_this();
+  auto shared = self->context_;
+  self->begun_ = self->heard_ = shared->runtime.now();
+  self->occupied_ = self->occupy_engines();
+  shared->logger.count("herontally_placements_total");
+  if (self->plan_.source) shared->logger.count("herontally_pulls_named_total");
+  shared->prefixes.note(self->plan_.destination, self->plan_.hashes, shared->runtime.now());
+  self->engine_heard_before_ = std::exchange(self->progress_->engine_heard, true);
+  engine::completion stream(shared->runtime, self->plan_.order);
+  while (true) {
+    auto event = co_await stream.next(poll_period);
+    if (auto ended = self->ended_from_outside()) co_return self->give_up(*ended);
+    if (auto* next = std::get_if<engine::piece>(&event)) {
+      if (auto ended = self->take_piece(*next)) co_return self->give_up(*ended);
+    } else if (auto* last = std::get_if<engine::summary>(&event)) {
+      self->take_summary(*last);
+      self->occupied_ = in_flight_guard();
+      co_return attempt_outcome::complete;
+    } else if (auto* failed = std::get_if<engine::failure>(&event)) {
+      self->note_failure(*failed);
+      auto outcome = broken("complete") ? attempt_outcome::complete : attempt_outcome::failed;
+      if (failed->status == 0) co_return self->give_up(outcome);
+      self->occupied_ = in_flight_guard();
+      co_return outcome;
+    } else if (self->is_silent()) {
+      shared->logger.warn("attempt silent",
+                          {{"request_id", self->turn_.request_id}, {"engine", self->plan_.destination_name}});
+      shared->logger.count("herontally_attempts_failed_total");
+      co_return self->give_up(attempt_outcome::failed);
+    }
+  }
+}
+
+}  // namespace herontally::proxy
--- a/src/forward/plan.cc
+++ b/src/router/attempt_plan.cc
@@ -1,20 +1,21 @@
-#include "forward/plan.h"
+#include "router/attempt_plan.h"
 
 #include <algorithm>
 #include <limits>
 
-namespace herontally::forward {
+namespace herontally::router {
 
-std::vector<std::string> part_keys(const platform_protocol::request_metadata& terms,
+std::vector<std::string> part_keys(const platform_protocol::request_metadata& metadata,
                                    const routing::route& route) {
   std::vector<std::string> keys;
   // The model stands in front: what was computed under one model's weights is nothing to another.
-  std::string chain = terms.model;
-  for (auto& part : terms.parts) {
+  std::string chain = metadata.model;
+  for (auto& part : metadata.parts) {
     chain += "/" + part.id;
     keys.push_back(chain);
   }
-  if (keys.empty() && route.affine && !terms.affinity.empty()) keys.push_back("thing/" + terms.affinity);
+  if (keys.empty() && route.affine && !metadata.affinity.empty())
+    keys.push_back("thing/" + metadata.affinity);
   return keys;
 }
 
@@ -31,26 +32,26 @@
   return nullptr;
 }
 
-static std::int64_t tokens_before(const platform_protocol::request_metadata& terms, std::size_t parts) {
+static std::int64_t tokens_before(const platform_protocol::request_metadata& metadata, std::size_t parts) {
   std::int64_t tokens = 0;
-  if (terms.parts.empty()) return static_cast<std::int64_t>(parts);
-  for (std::size_t position = 0; position < parts && position < terms.parts.size(); ++position)
-    tokens += terms.parts[position].tokens;
+  if (metadata.parts.empty()) return static_cast<std::int64_t>(parts);
+  for (std::size_t position = 0; position < parts && position < metadata.parts.size(); ++position)
+    tokens += metadata.parts[position].tokens;
   return tokens;
 }
 
-std::variant<plan, unplanned> make_plan(const subject& asked, roster& engines,
+std::variant<plan, unplanned> make_plan(const subject& asked, engine_pool& engines,
                                         const planning_context& context, std::mt19937_64& random) {
   plan made;
   made.version = context.table.version;
   made.attempt = asked.attempt;
-  made.parts = part_keys(asked.terms, asked.route);
-  auto prompt = tokens_before(asked.terms, made.parts.size());
-  auto all = engines.candidates(asked.service, context.evacuated, context.zone, context.group, context.wall,
-                                prompt, context.now);
+  made.parts = part_keys(asked.metadata, asked.route);
+  auto prompt = tokens_before(asked.metadata, made.parts.size());
+  auto all = engines.candidates(asked.service, context.evacuated_zones, context.zone, context.group,
+                                context.wall, prompt, context.now);
   for (auto& each : all)
     each.cached_blocks = static_cast<std::size_t>(
-        tokens_before(asked.terms, engines.kept().leading(each.number, made.parts, context.now)));
+        tokens_before(asked.metadata, engines.prefixes().leading(each.number, made.parts, context.now)));
   placement::question question;
   // Lengths are known by part, so that a block is one token here.
   question.block_tokens = 1;
@@ -69,7 +70,7 @@
   question.avoid = asked.avoid;
   auto choice = placement::place(question, all, random);
   // Full, cold or out of use for a moment: that passes; an engine that leaves or is gone doesn't come back.
-  bool some = engines.usable(asked.service.name, context.evacuated, context.now) > 0;
+  bool some = engines.usable(asked.service.name, context.evacuated_zones, context.now) > 0;
   if (!choice) return some ? unplanned::busy : unplanned::hopeless;
   auto& destination = all[choice->destination];
   made.engine = destination.number;
@@ -85,4 +86,4 @@
   return made;
 }
 
-}  // namespace herontally::forward
+}  // namespace herontally::router
--- a/src/forward/plan.h
+++ b/src/router/attempt_plan.h
@@ -3,13 +3,13 @@
 #pragma once
 #include <random>
 
-#include "forward/roster.h"
+#include "router/engine_pool.h"
 
-namespace herontally::forward {
+namespace herontally::router {
 
 struct planning_context {
   const routing::table& table;
-  const std::set<std::string>& evacuated;
+  const std::set<std::string>& evacuated_zones;
   std::string zone;
   std::int64_t nodes = 1;  // that share the engines' caps on connections, this one included
   node_group group;        // that share the rates of cold engines
@@ -19,7 +19,7 @@
 struct subject {
   const routing::route& route;
   const routing::service& service;
-  const platform_protocol::request_metadata& terms;
+  const platform_protocol::request_metadata& metadata;
   std::vector<interning::symbol> avoid;
   int attempt = 1;
 };
@@ -40,14 +40,14 @@
 
 // Keys of the prompt's parts, each chained to those before it and to the model: a part counts as kept only
 // behind all that stands before it.
-std::vector<std::string> part_keys(const platform_protocol::request_metadata& terms,
+std::vector<std::string> part_keys(const platform_protocol::request_metadata& metadata,
                                    const routing::route& route);
 
-std::variant<plan, unplanned> make_plan(const subject& asked, roster& engines,
+std::variant<plan, unplanned> make_plan(const subject& asked, engine_pool& engines,
                                         const planning_context& context, std::mt19937_64& random);
 
 // One of a route's services, drawn by their shares.
 const routing::service* draw_service(const routing::route& route, const routing::table& table,
                                      std::mt19937_64& random);
 
-}  // namespace herontally::forward
+}  // namespace herontally::router
--- a/src/forward/roster.cc
+++ b/src/router/engine_pool.cc
@@ -1,16 +1,16 @@
-#include "forward/roster.h"
+#include "router/engine_pool.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace herontally::forward {
+namespace herontally::router {
 
 using runtime::millisecond;
 using runtime::second;
 
-roster::roster() : kept_({4000, 120 * second}) {}
+engine_pool::engine_pool() : prefixes_({4000, 120 * second}) {}
 
-void roster::list(const std::string& text, microseconds now) {
+void engine_pool::set_list(const std::string& text, microseconds now) {
   auto document = nlohmann::json::parse(text, nullptr, false);
   if (!document.is_array()) return;
   known_ = true;
@@ -27,41 +27,44 @@
     auto& row = rows_[found->second];
     row.present = true;
     // The list tells how long it stays cold from when the list was made, which lies a while back.
-    if (listed.cold_ms > 0) row.cold_until = std::max(row.cold_until, now + listed.cold_ms * millisecond);
+    if (listed.slow_start_milliseconds > 0)
+      row.slow_start_until =
+          std::max(row.slow_start_until, now + listed.slow_start_milliseconds * millisecond);
     row.listed = std::move(listed);
     by_service_[row.listed.service].push_back(row.number);
   }
   for (auto& each : rows_)
-    if (!each.present) kept_.forget(each.number);
+    if (!each.present) prefixes_.forget(each.number);
 }
 
-void roster::leaving(const std::vector<std::string>& ids) {
-  for (auto& each : rows_) each.leaving = std::find(ids.begin(), ids.end(), each.listed.id) != ids.end();
+void engine_pool::set_draining(const std::vector<std::string>& ids) {
+  for (auto& each : rows_) each.draining = std::find(ids.begin(), ids.end(), each.listed.id) != ids.end();
 }
 
 // A cold engine bears so many requests a second from all nodes together. Each node keeps to its share of that
 // over every second that slides by.
-bool roster::may_take_cold(engine_row& row, const routing::service& service, const node_group& group,
-                           microseconds wall, microseconds now) {
-  if (service.cold_rate <= 0 || now >= row.cold_until) return true;
-  while (!row.cold_sends.empty() && now - row.cold_sends.front() >= second) row.cold_sends.pop_front();
-  auto share = cold_share(service.cold_rate, group, row.listed.id, wall);
-  return static_cast<std::int64_t>(row.cold_sends.size()) < share;
+bool engine_pool::may_take_in_slow_start(engine_row& row, const routing::service& service,
+                                         const node_group& group, microseconds wall, microseconds now) {
+  if (service.cold_rate <= 0 || now >= row.slow_start_until) return true;
+  while (!row.recent_sends.empty() && now - row.recent_sends.front() >= second) row.recent_sends.pop_front();
+  auto share = slow_start_share(service.cold_rate, group, row.listed.id, wall);
+  return static_cast<std::int64_t>(row.recent_sends.size()) < share;
 }
 
 // What one request costs an engine besides its prompt, in prompt tokens: its part of the steps that put out.
 constexpr double request_tokens = 200;
-constexpr double fades_in = 500.0 * millisecond;
+constexpr double load_decay_time = 500.0 * millisecond;
 
-double roster::work(const engine_row& row, microseconds now) {
-  double faded = row.recent * std::exp(-static_cast<double>(now - row.recent_at) / fades_in);
+double engine_pool::work(const engine_row& row, microseconds now) {
+  double faded = row.recent * std::exp(-static_cast<double>(now - row.recent_at) / load_decay_time);
   return faded + static_cast<double>(row.unread) + request_tokens * static_cast<double>(row.ours);
 }
 
-std::vector<placement::engine> roster::candidates(const routing::service& service,
-                                                  const std::set<std::string>& evacuated,
-                                                  const std::string& zone, const node_group& group,
-                                                  microseconds wall, std::int64_t tokens, microseconds now) {
+std::vector<placement::engine> engine_pool::candidates(const routing::service& service,
+                                                       const std::set<std::string>& evacuated,
+                                                       const std::string& zone, const node_group& group,
+                                                       microseconds wall, std::int64_t tokens,
+                                                       microseconds now) {
   std::vector<placement::engine> engines;
   auto found = by_service_.find(service.name);
   if (found == by_service_.end()) return engines;
@@ -73,11 +76,11 @@
     each.zone = row.listed.zone;
     each.address = row.listed.address;
     each.name = row.listed.id;
-    each.draining = row.listed.draining || row.leaving;
+    each.draining = row.listed.draining || row.draining;
     each.evacuated = evacuated.count(row.listed.zone) > 0;
     // Out of use for a while after failures; then one request tries it.
-    bool down = now < row.down_until || (row.on_trial && row.ours > 0);
-    each.live = row.present && !down && may_take_cold(row, service, group, wall, now);
+    bool down = now < row.down_until || (row.on_probation && row.ours > 0);
+    each.live = row.present && !down && may_take_in_slow_start(row, service, group, wall, now);
     each.queue = row.ours;
     each.ours = row.ours;
     bool free = each.live && !each.draining && !each.evacuated;
@@ -103,46 +106,48 @@
   return engines;
 }
 
-std::size_t roster::usable(const std::string& service, const std::set<std::string>& evacuated,
-                           microseconds now) const {
+std::size_t engine_pool::usable(const std::string& service, const std::set<std::string>& evacuated,
+                                microseconds now) const {
   std::size_t count = 0;
   auto found = by_service_.find(service);
   if (found == by_service_.end()) return 0;
   for (auto number : found->second) {
     auto& row = rows_[number];
     bool out =
-        row.listed.draining || row.leaving || evacuated.count(row.listed.zone) > 0 || now < row.down_until;
+        row.listed.draining || row.draining || evacuated.count(row.listed.zone) > 0 || now < row.down_until;
     count += row.present && !out ? 1 : 0;
   }
   return count;
 }
 
-void roster::sent(interning::symbol number, std::int64_t unread, microseconds now) {
+void engine_pool::sent(interning::symbol number, std::int64_t unread, microseconds now) {
   auto& row = rows_[number];
   ++row.ours;
   row.unread += unread;
-  row.recent = row.recent * std::exp(-static_cast<double>(now - row.recent_at) / fades_in) +
+  row.recent = row.recent * std::exp(-static_cast<double>(now - row.recent_at) / load_decay_time) +
                static_cast<double>(unread) + request_tokens;
   row.recent_at = now;
   // Counted whether cold or not: it may have turned cold without a word.
-  row.cold_sends.push_back(now);
-  while (now - row.cold_sends.front() >= second) row.cold_sends.pop_front();
+  row.recent_sends.push_back(now);
+  while (now - row.recent_sends.front() >= second) row.recent_sends.pop_front();
 }
 
-void roster::begun(interning::symbol number, std::int64_t unread) { rows_[number].unread -= unread; }
+void engine_pool::begun(interning::symbol number, std::int64_t unread) { rows_[number].unread -= unread; }
 
-void roster::ended(interning::symbol number) { --rows_[number].ours; }
+void engine_pool::ended(interning::symbol number) { --rows_[number].ours; }
 
-void roster::answered(interning::symbol number, const platform_protocol::response_metadata& terms,
-                      microseconds now) {
+void engine_pool::answered(interning::symbol number, const platform_protocol::response_metadata& metadata,
+                           microseconds now) {
   auto& row = rows_[number];
   row.failures = 0;
-  row.on_trial = false;
+  row.on_probation = false;
   row.last_answer = now;
-  if (terms.cold_ms > 0) row.cold_until = std::max(row.cold_until, now + terms.cold_ms * millisecond);
+  if (metadata.slow_start_milliseconds > 0)
+    row.slow_start_until =
+        std::max(row.slow_start_until, now + metadata.slow_start_milliseconds * millisecond);
 }
 
-void roster::failed(interning::symbol number, bool hard, microseconds now) {
+void engine_pool::failed(interning::symbol number, bool hard, microseconds now) {
   auto& row = rows_[number];
   ++row.failures;
   row.last_answer = -1;
@@ -150,12 +155,12 @@
   if (!hard && row.failures < 2) return;
   microseconds pause = std::min<microseconds>(4 * second, (250 * millisecond) << std::min(row.failures, 5));
   row.down_until = now + pause;
-  row.on_trial = true;
+  row.on_probation = true;
 }
 
-void roster::gone(interning::symbol number) {
+void engine_pool::replaced(interning::symbol number) {
   rows_[number].down_until = rows_[number].down_until + 3600 * second;
-  kept_.forget(number);
+  prefixes_.forget(number);
 }
 
-}  // namespace herontally::forward
+}  // namespace herontally::router
--- a/src/forward/roster.h
+++ b/src/router/engine_pool.h
@@ -1,16 +1,17 @@
-// The engines as this node knows them: the platform's list, and what its own requests have seen.
+// The engines as this node knows them: the platform's list, what its own requests have seen (outlier
+// detection), and their slow start.
 #pragma once
 #include <deque>
 #include <functional>
 #include <map>
 #include <set>
 
-#include "forward/cold_share.h"
 #include "placement/placement.h"
 #include "platform_protocol/adapter.h"
 #include "prefix/prefix.h"
+#include "router/slow_start_share.h"
 
-namespace herontally::forward {
+namespace herontally::router {
 
 using runtime::microseconds;
 
@@ -19,31 +20,31 @@
   interning::symbol number = 0;
   platform_protocol::listed_engine listed;
   bool present = false;   // on the newest list
-  bool leaving = false;   // by its own word, or by a look of our agent's
+  bool draining = false;  // by its own word, or by a look of our agent's
   std::int64_t ours = 0;  // our requests under way there
   // Prompt tokens that we gave it to read: those of requests that have not begun to answer, and those of the
   // last moments, fading.
   std::int64_t unread = 0;
   double recent = 0;
   microseconds recent_at = 0;
-  microseconds cold_until = 0, down_until = 0, seen_at = 0;
-  int failures = 0;                     // in a row
-  std::deque<microseconds> cold_sends;  // within the last second
-  microseconds last_answer = -1;        // an idle connection is likely while this is recent
+  microseconds slow_start_until = 0, down_until = 0, seen_at = 0;
+  int failures = 0;                       // in a row
+  std::deque<microseconds> recent_sends;  // within the last second
+  microseconds last_answer = -1;          // an idle connection is likely while this is recent
   // A seat for a trial is taken after a time out of use: one request finds out for the others.
-  bool on_trial = false;
+  bool on_probation = false;
 };
 
-class roster {
+class engine_pool {
  public:
-  roster();
+  engine_pool();
   // The list as news brings it: JSON of dialect::listed_engine.
-  void list(const std::string& text, microseconds now);
-  void leaving(const std::vector<std::string>& ids);
+  void set_list(const std::string& text, microseconds now);
+  void set_draining(const std::vector<std::string>& ids);
   bool known() const { return known_; }
   engine_row& row(interning::symbol number) { return rows_[number]; }
   const std::vector<engine_row>& rows() const { return rows_; }
-  prefix::index& kept() { return kept_; }
+  prefix::index& prefixes() { return prefixes_; }
   // What placement looks at, for one service. `group` and `wall`: see cold_share. `tokens`: of the prompt at
   // hand; engines whose work differs by no more than that are alike in load.
   std::vector<placement::engine> candidates(const routing::service& service,
@@ -58,22 +59,22 @@
   // It has begun to answer, or never will: its prompt waits no more.
   void begun(interning::symbol number, std::int64_t unread);
   void ended(interning::symbol number);
-  void answered(interning::symbol number, const platform_protocol::response_metadata& terms,
+  void answered(interning::symbol number, const platform_protocol::response_metadata& metadata,
                 microseconds now);
   // `hard`: nothing listens there, or another engine does.
   void failed(interning::symbol number, bool hard, microseconds now);
   // Another life answers at its address.
-  void gone(interning::symbol number);
+  void replaced(interning::symbol number);
 
  private:
   static double work(const engine_row& row, microseconds now);
-  bool may_take_cold(engine_row& row, const routing::service& service, const node_group& group,
-                     microseconds wall, microseconds now);
+  bool may_take_in_slow_start(engine_row& row, const routing::service& service, const node_group& group,
+                              microseconds wall, microseconds now);
   std::vector<engine_row> rows_;
   std::map<std::string, interning::symbol> by_id_;
   std::map<std::string, std::vector<interning::symbol>> by_service_;
-  prefix::index kept_;
+  prefix::index prefixes_;
   bool known_ = false;
 };
 
-}  // namespace herontally::forward
+}  // namespace herontally::router
--- a/src/forward/events.cc
+++ b/src/router/event_scanner.cc
@@ -1,6 +1,6 @@
-#include "forward/events.h"
+#include "router/event_scanner.h"
 
-namespace herontally::forward {
+namespace herontally::router {
 
 void event_scanner::take_line() {
   if (!line_.empty() && line_.back() == '\r') line_.pop_back();
@@ -47,4 +47,4 @@
   }
 }
 
-}  // namespace herontally::forward
+}  // namespace herontally::router
--- a/src/forward/events.h
+++ b/src/router/event_scanner.h
@@ -3,7 +3,7 @@
 #include <cstdint>
 #include <string>
 
-namespace herontally::forward {
+namespace herontally::router {
 
 class event_scanner {
  public:
@@ -23,4 +23,4 @@
   std::int64_t events_ = 0;
 };
 
-}  // namespace herontally::forward
+}  // namespace herontally::router
--- a/src/forward/idle_limit.cc
+++ b/src/router/idle_limit.cc
@@ -1,8 +1,8 @@
-#include "forward/idle_limit.h"
+#include "router/idle_limit.h"
 
 #include <algorithm>
 
-namespace herontally::forward {
+namespace herontally::router {
 
 using runtime::millisecond;
 using runtime::second;
@@ -30,4 +30,4 @@
   entry.until = now + loss_remembered;
 }
 
-}  // namespace herontally::forward
+}  // namespace herontally::router
--- a/src/forward/idle_limit.h
+++ b/src/router/idle_limit.h
@@ -6,7 +6,7 @@
 
 #include "runtime/backend.h"
 
-namespace herontally::forward {
+namespace herontally::router {
 
 using runtime::microseconds;
 
@@ -24,4 +24,4 @@
   std::map<std::string, loss> losses_;
 };
 
-}  // namespace herontally::forward
+}  // namespace herontally::router
--- /dev/null
+++ b/src/router/request_router.h
@@ -0,0 +1,49 @@
+// Routes clients' requests by the routing table: each goes to an engine of its route's service, unchanged,
+// and the engine's answer back to the client.
+#pragma once
+#include "http_api/responses.h"
+#include "ledger/program_ledger.h"
+#include "logging/logging.h"
+#include "platform_protocol/adapter.h"
+#include "router/slow_start_share.h"
+#include "runtime/runtime.h"
+
+namespace herontally::router {
+
+struct router_options {
+  std::string zone;                   // this node's
+  std::int64_t most_requests = 2000;  // in flight at once
+  // A lead in cached tokens above which a source is named, for models whose table names none. Off: nothing.
+  std::optional<std::int64_t> min_cached_token_delta;
+};
+
+// Copies share one state.
+class request_router {
+ public:
+  request_router(runtime::handle runtime, logging::logger logger,
+                 std::shared_ptr<const platform_protocol::adapter> adapter, ledger::program_ledger programs,
+                 router_options options);
+  // The table that is in force from now on, and the zones that get no requests. One with a lower version is
+  // ignored.
+  void set_routing(routing::table table, std::set<std::string> evacuated_zones);
+  // The platform's engine list as JSON (empty: unchanged), and engines that were seen draining besides.
+  void set_engines(const std::string& list, const std::vector<std::string>& draining);
+  // How many nodes share the engines' caps on connections, and this one's rank among those that share the
+  // rates of engines in slow start.
+  void set_nodes(std::int64_t count, const node_group& group);
+  // Whether requests are served. Before, they wait for a moment and are then rejected.
+  bool ready() const;
+  // No more new connections: each client is told to open its next one elsewhere.
+  void drain();
+  // The process is about to end: new requests are rejected before any engine hears of them.
+  void close();
+  std::int64_t in_flight() const;
+  // Answers the request.
+  runtime::task<> serve(runtime::inbound_request request, http_api::writer out);
+
+ private:
+  struct state;
+  std::shared_ptr<state> state_;
+};
+
+}  // namespace herontally::router
--- a/src/forward/cold_share.cc
+++ b/src/router/slow_start_share.cc
@@ -1,9 +1,9 @@
-#include "forward/cold_share.h"
+#include "router/slow_start_share.h"
 
 #include <algorithm>
 #include <numeric>
 
-namespace herontally::forward {
+namespace herontally::router {
 
 namespace {
 
@@ -46,8 +46,8 @@
 
 }  // namespace
 
-std::int64_t cold_share(double rate, const node_group& group, const std::string& engine_id,
-                        microseconds wall) {
+std::int64_t slow_start_share(double rate, const node_group& group, const std::string& engine_id,
+                              microseconds wall) {
   auto whole = std::max<std::int64_t>(1, static_cast<std::int64_t>(rate));
   auto offset = hash_of(engine_id);
   auto share = share_in(whole, group.nodes, group.rank, offset, wall);
@@ -55,4 +55,4 @@
   return std::min(share, share_in(whole, group.nodes_before, group.rank_before, offset, wall));
 }
 
-}  // namespace herontally::forward
+}  // namespace herontally::router
--- a/src/forward/cold_share.h
+++ b/src/router/slow_start_share.h
@@ -5,7 +5,7 @@
 
 #include "runtime/backend.h"
 
-namespace herontally::forward {
+namespace herontally::router {
 
 using runtime::microseconds;
 
@@ -18,7 +18,7 @@
 // Requests that may be sent within any one second. `wall` is the time of day, which nodes share closely: with
 // fewer requests a second than nodes the right to send rotates among them. Summed over a group the shares of
 // any one second are at most one above the rate; a node that isn't listed has none.
-std::int64_t cold_share(double rate, const node_group& group, const std::string& engine_id,
-                        microseconds wall);
+std::int64_t slow_start_share(double rate, const node_group& group, const std::string& engine_id,
+                              microseconds wall);
 
-}  // namespace herontally::forward
+}  // namespace herontally::router
--- a/src/routing/table.h
+++ b/src/routing/table.h
@@ -1,5 +1,5 @@
-// Which request goes to which service, and on what terms: part of the desired state, in the product's own
-// form.
+// The routing table: which request goes to which service, and on what terms. Part of the configuration, in
+// the product's own form; JSON keys are part of the stored data and stay as they are.
 #pragma once
 #include <cstdint>
 #include <nlohmann/json.hpp>
@@ -7,30 +7,60 @@
 #include <string>
 #include <vector>
 
+#include "serialization/json_fields.h"
+
 namespace herontally::routing {
 
 using json = nlohmann::json;
 
-enum class category { idempotent, mutating, streaming };
+enum class category {
+  idempotent,  // may be sent to several engines
+  mutating,    // is sent to one engine once
+  streaming,   // answered event by event
+};
+NLOHMANN_JSON_SERIALIZE_ENUM(category, {{category::mutating, "mutating"},
+                                        {category::idempotent, "idempotent"},
+                                        {category::streaming, "streaming"}})
 
 // One service among those that a route's requests are spread over; shares are relative.
 struct target {
   std::string service;
   std::int64_t share = 1;
-  NLOHMANN_DEFINE_TYPE_INTRUSIVE_WITH_DEFAULT(target, service, share)
+
+  static constexpr bool missing_keys_allowed = true;
+  static constexpr auto json_fields() {
+    using serialization::json_field;
+    return std::make_tuple(json_field(&target::service, "service"), json_field(&target::share, "share"));
+  }
 };
 
-// Times are in milliseconds.
+// Times are in milliseconds; 0: not given.
 struct route {
   std::string name, host, prefix;
   category kind = category::mutating;
-  std::int64_t deadline = 0, aim = 0, urgency = 0, tries = 1, gap = 0, keep = 0;
+  std::int64_t deadline = 0;         // by which a request must be answered
+  std::int64_t latency_target = 0;   // by which it should be
+  std::int64_t urgency = 0;          // 0: the most urgent
+  std::int64_t tries = 1;            // engines that a request may be sent to
+  std::int64_t interval_target = 0;  // between two events of a stream
+  std::int64_t keep = 0;             // how long kept turns are kept
   std::vector<target> targets;
   bool kept = false;       // the system holds what was said and builds the prompt from it
   bool affine = false;     // an engine that has seen the thing lately works faster
   bool resumable = false;  // a cut stream may be gone on with at another engine
-  NLOHMANN_DEFINE_TYPE_INTRUSIVE_WITH_DEFAULT(route, name, host, prefix, kind, deadline, aim, urgency, tries,
-                                              gap, keep, targets, kept, affine, resumable)
+
+  static constexpr bool missing_keys_allowed = true;
+  static constexpr auto json_fields() {
+    using serialization::json_field;
+    return std::make_tuple(json_field(&route::name, "name"), json_field(&route::host, "host"),
+                           json_field(&route::prefix, "prefix"), json_field(&route::kind, "kind"),
+                           json_field(&route::deadline, "deadline"),
+                           json_field(&route::latency_target, "aim"), json_field(&route::urgency, "urgency"),
+                           json_field(&route::tries, "tries"), json_field(&route::interval_target, "gap"),
+                           json_field(&route::keep, "keep"), json_field(&route::targets, "targets"),
+                           json_field(&route::kept, "kept"), json_field(&route::affine, "affine"),
+                           json_field(&route::resumable, "resumable"));
+  }
 };
 
 // What a model engine is made of. Tokens and tokens per event.
@@ -49,9 +79,16 @@
 
 // What a client may send: bytes and milliseconds.
 struct limits {
-  std::int64_t largest_head = 16384, largest_body = 4 << 20, header_patience = 3000, idle_patience = 15000;
-  NLOHMANN_DEFINE_TYPE_INTRUSIVE_WITH_DEFAULT(limits, largest_head, largest_body, header_patience,
-                                              idle_patience)
+  std::int64_t max_head_bytes = 16384, max_body_bytes = 4 << 20, header_timeout = 3000, idle_timeout = 15000;
+
+  static constexpr bool missing_keys_allowed = true;
+  static constexpr auto json_fields() {
+    using serialization::json_field;
+    return std::make_tuple(json_field(&limits::max_head_bytes, "largest_head"),
+                           json_field(&limits::max_body_bytes, "largest_body"),
+                           json_field(&limits::header_timeout, "header_patience"),
+                           json_field(&limits::idle_timeout, "idle_patience"));
+  }
 };
 
 struct table {
@@ -64,9 +101,6 @@
   const route* match(const std::string& host, const std::string& path) const;
 };
 
-NLOHMANN_JSON_SERIALIZE_ENUM(category, {{category::mutating, "mutating"},
-                                        {category::idempotent, "idempotent"},
-                                        {category::streaming, "streaming"}})
 void to_json(json& document, const model_engine& from);
 void from_json(const json& document, model_engine& to);
 void to_json(json& document, const service& from);
--- a/src/settings/daemon_flags.cc
+++ b/src/settings/daemon_flags.cc
@@ -14,8 +14,8 @@
 ABSL_FLAG(std::string, http, "", "ip:port of its HTTP side");
 ABSL_FLAG(std::string, seeds, "", "three ip:port of other processes, with commas between");
 ABSL_FLAG(std::string, data, "", "data folder");
-ABSL_FLAG(std::string, agent, "", "hproxy: ip:port of the agent beside it");
-ABSL_FLAG(std::string, platform, "", "hcore, hagent: ip:port of the platform's HTTP side");
+ABSL_FLAG(std::string, agent, "", "proxy: ip:port of the agent beside it");
+ABSL_FLAG(std::string, platform, "", "control_node, agent: ip:port of the platform's HTTP side");
 ABSL_FLAG(std::string, log_level, "", "DEBUG, INFO, WARN, ERROR or OFF");
 
 namespace herontally::settings {
--- a/src/settings/settings.cc
+++ b/src/settings/settings.cc
@@ -117,11 +117,11 @@
   out.inner = from.address("inner", true);
   out.http = from.address("http", true);
   read_seeds(from, out);
-  bool keeps = role == "hcore" || role == "hstore";
+  bool keeps = role == "control_node" || role == "storage_node";
   out.data = from.text("data", keeps);
   if (keeps && out.data.empty()) from.fail("data", "is missing");
-  out.agent = from.address("agent", role == "hproxy");
-  out.platform = from.address("platform", role == "hcore" || role == "hagent");
+  out.agent = from.address("agent", role == "proxy");
+  out.platform = from.address("platform", role == "control_node" || role == "agent");
   read_operators(from, out);
   auto level = from.text("log_level", false);
   static const std::set<std::string> levels{"", "DEBUG", "INFO", "WARN", "ERROR", "OFF"};
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -17,8 +17,8 @@
   std::string inner, http;         // ip:port
   std::vector<std::string> seeds;  // inner addresses of three other processes
   std::string data;                // folder; empty for programs that keep nothing
-  std::string agent;               // hproxy: its agent's inner address
-  std::string platform;            // hcore, hagent: the platform's HTTP address
+  std::string agent;               // proxy: its agent's inner address
+  std::string platform;            // control_node, agent: the platform's HTTP address
   std::string log_level = "INFO";
   std::vector<operator_token> operators;
   std::int64_t disk_megabytes = 256;
@@ -26,9 +26,9 @@
   std::int64_t queue = 64, requests = 512;
   // Where an adapter serves the product on a platform of the users'; empty without one.
   std::string region;
-  std::string ingress;    // hproxy: clients' requests by the routing table
-  std::string readiness;  // hproxy: the platform asks here whether new connections may come
-  std::string control;    // hcore: the operator's calls, in the platform's form
+  std::string ingress;    // proxy: clients' requests by the routing table
+  std::string readiness;  // proxy: the platform asks here whether new connections may come
+  std::string control;    // control_node: the operator's calls, in the platform's form
   bool founding = false;  // the first start of the whole system, on empty disks: groups may be founded
   double list_rate = 4;   // calls a second that the platform's list takes from all nodes together
   std::int64_t drain_milliseconds = 3000;  // requests to a leaving engine must have stopped by then
--- a/src/simengine/model.cc
+++ b/src/simengine/model.cc
@@ -64,7 +64,7 @@
 }
 
 // Puts out up to `most` tokens behind these; nothing when the client has gone meanwhile.
-task<std::optional<std::int64_t>> node::state::decode(gateway::writer out,
+task<std::optional<std::int64_t>> node::state::decode(http_api::writer out,
                                                       std::shared_ptr<std::vector<std::int64_t>> tokens,
                                                       std::int64_t most) {
   auto self = shared_from_this();
@@ -85,7 +85,7 @@
 }
 
 // The last events of a completion: what it used and what was moved for it.
-static void finish_completion(const gateway::writer& out, const json& usage, const pulled& moved) {
+static void finish_completion(const http_api::writer& out, const json& usage, const pulled& moved) {
   json report{{"blocks_asked", moved.asked},
               {"blocks_found", moved.found},
               {"bytes_moved", moved.bytes},
@@ -96,12 +96,12 @@
   out->finish();
 }
 
-task<> node::state::complete(runtime::inbound_request request, json body, gateway::writer out) {
+task<> node::state::complete(runtime::inbound_request request, json body, http_api::writer out) {
   auto self = shared_from_this();
   model_turn turn;
   turn.arrived = self->runtime.now();
   if (self->draining) {
-    gateway::reply_json(out, 503, {{"error", "draining"}, {"ran", "no"}});
+    http_api::reply_json(out, 503, {{"error", "draining"}, {"ran", "no"}});
     co_return;
   }
   turn.request = request;
--- a/src/simengine/node.cc
+++ b/src/simengine/node.cc
@@ -1,6 +1,6 @@
 #include "simengine/node.h"
 
-#include "ledger/head.h"
+#include "ledger/conversation_record.h"
 #include "simengine/node_state.h"
 
 namespace herontally::simengine {
@@ -48,7 +48,7 @@
 task<std::optional<std::string>> node::start() {
   std::weak_ptr<state> weak = state_;
   bool served = state_->runtime.http_serve(
-      state_->choice.http, [weak](runtime::inbound_request incoming, gateway::writer out) {
+      state_->choice.http, [weak](runtime::inbound_request incoming, http_api::writer out) {
         if (auto here = weak.lock())
           here->runtime.spawn(here->serve_request(std::move(incoming), std::move(out)));
       });
@@ -90,7 +90,7 @@
 
 std::shared_ptr<void> node::state::track_request(const std::string& kind,
                                                  const runtime::inbound_request& incoming,
-                                                 const gateway::writer& out) {
+                                                 const http_api::writer& out) {
   auto number = next_active++;
   under_way[kind][number] = {{incoming.peer, sent_of(incoming)}, out};
   return {nullptr, [weak = weak_from_this(), kind, number](void*) {
@@ -150,7 +150,7 @@
 
 // An application: does the work for every request that reaches it, whatever its key; that is what makes
 // running a call twice visible.
-task<> node::state::call(runtime::inbound_request incoming, gateway::writer out) {
+task<> node::state::call(runtime::inbound_request incoming, http_api::writer out) {
   auto self = shared_from_this();
   std::string key = incoming.headers.contains("idempotency-key") ? incoming.headers["idempotency-key"] : "";
   auto tracked = self->track_request("call", incoming, out);
@@ -158,13 +158,13 @@
   if (incoming.method == "GET") {
     auto found = self->calls.find(key);
     if (found == self->calls.end())
-      gateway::reply_json(out, 404, {{"known", false}});
+      http_api::reply_json(out, 404, {{"known", false}});
     else
-      gateway::reply_json(out, 200, found->second.second);
+      http_api::reply_json(out, 200, found->second.second);
     co_return;
   }
   if (self->draining) {
-    gateway::reply_json(out, 503, {{"error", "draining"}, {"ran", "no"}});
+    http_api::reply_json(out, 503, {{"error", "draining"}, {"ran", "no"}});
     co_return;
   }
   co_await self->take_place();
@@ -186,22 +186,22 @@
     out->cut();
     co_return;
   }
-  gateway::reply_json(out, 200, entry.second);
+  http_api::reply_json(out, 200, entry.second);
 }
 
-task<> node::state::serve_request(runtime::inbound_request incoming, gateway::writer out) {
+task<> node::state::serve_request(runtime::inbound_request incoming, http_api::writer out) {
   auto self = shared_from_this();
   if (incoming.path == "/metrics") {
-    gateway::reply_text(out, "text/plain", self->metrics());
+    http_api::reply_text(out, "text/plain", self->metrics());
     co_return;
   }
   if (incoming.path == "/health" || incoming.path == "/readyz") {
-    gateway::reply_json(out, self->draining ? 503 : 200, {{"draining", self->draining}});
+    http_api::reply_json(out, self->draining ? 503 : 200, {{"draining", self->draining}});
     co_return;
   }
   if (incoming.path == "/sim/behave" && incoming.method == "POST") {
     self->behave(incoming.body);
-    gateway::reply_json(out, 200, {{"behaves", incoming.body}});
+    http_api::reply_json(out, 200, {{"behaves", incoming.body}});
     co_return;
   }
   if (self->choice.kind != "model") {
@@ -219,7 +219,7 @@
     self->tell("arrive-pull", incoming, "", "lend");
     co_await self->lend(std::move(body), std::move(out));
   } else
-    gateway::reply_json(out, 404, {{"error", "no such page"}});
+    http_api::reply_json(out, 404, {{"error", "no such page"}});
 }
 
 }  // namespace herontally::simengine
--- a/src/simengine/node_state.h
+++ b/src/simengine/node_state.h
@@ -3,7 +3,7 @@
 #include <list>
 #include <set>
 
-#include "gateway/http.h"
+#include "http_api/responses.h"
 #include "simengine/node.h"
 
 namespace herontally::simengine {
@@ -30,7 +30,7 @@
 // One completion at a model engine.
 struct model_turn {
   runtime::inbound_request request;
-  gateway::writer out;
+  http_api::writer out;
   microseconds arrived = 0;
   json transfer;                    // its kv_transfer_params
   std::vector<std::string> hashes;  // of the prompt's whole blocks
@@ -48,7 +48,7 @@
   std::string lender = "well";
   std::int64_t running = 0, waiting = 0;
   std::int64_t lending = 0;
-  std::map<std::string, std::map<std::uint64_t, std::pair<active_request, gateway::writer>>>
+  std::map<std::string, std::map<std::uint64_t, std::pair<active_request, http_api::writer>>>
       under_way;  // by kind
   std::uint64_t next_active = 1;
   microseconds busy_until = 0;
@@ -78,19 +78,19 @@
   void count_pull(const pulled& result) const;
   void tell_hit(const model_turn& turn, std::size_t held) const;
   task<> prefill(std::int64_t prompt_tokens, std::int64_t cached_tokens);
-  task<std::optional<std::int64_t>> decode(gateway::writer out,
+  task<std::optional<std::int64_t>> decode(http_api::writer out,
                                            std::shared_ptr<std::vector<std::int64_t>> tokens,
                                            std::int64_t most);
-  task<> complete(runtime::inbound_request request, json body, gateway::writer out);
-  task<> lend(json body, gateway::writer out);
+  task<> complete(runtime::inbound_request request, json body, http_api::writer out);
+  task<> lend(json body, http_api::writer out);
   // Counts this piece of work in until the result is let go.
   std::shared_ptr<void> track_request(const std::string& kind, const runtime::inbound_request& incoming,
-                                      const gateway::writer& out);
+                                      const http_api::writer& out);
   std::vector<active_request> active_requests(const std::string& kind) const;
   void tell(const std::string& what, const runtime::inbound_request& incoming, const std::string& key,
             const std::string& kind);
-  task<> call(runtime::inbound_request incoming, gateway::writer out);
-  task<> serve_request(runtime::inbound_request incoming, gateway::writer out);
+  task<> call(runtime::inbound_request incoming, http_api::writer out);
+  task<> serve_request(runtime::inbound_request incoming, http_api::writer out);
   std::string metrics();
 };
 
--- a/src/simengine/transfer.cc
+++ b/src/simengine/transfer.cc
@@ -81,18 +81,18 @@
   co_return transfer.result;
 }
 
-task<> node::state::lend(json body, gateway::writer out) {
+task<> node::state::lend(json body, http_api::writer out) {
   auto self = shared_from_this();
   auto hashes = body.value("block_hashes", std::vector<std::string>());
   std::size_t have = self->leading(hashes);
   if (self->lending >= self->choice.most_lends) {
     // Above its own cap a lender refuses at once, and the borrower computes.
     self->logger.count("herontally_engine_kv_lends_refused_total");
-    gateway::reply_json(out, 503, {{"error", "too many pulls"}});
+    http_api::reply_json(out, 503, {{"error", "too many pulls"}});
     co_return;
   }
   ++self->lending;
-  std::shared_ptr<void> seat(nullptr, [self](void*) { --self->lending; });
+  std::shared_ptr<void> in_flight_guard(nullptr, [self](void*) { --self->lending; });
   out->start(200, {{"Content-Type", "application/x-ndjson"}});
   out->piece(json{{"have", have}}.dump() + "\n");
   co_await self->runtime.sleep(static_cast<microseconds>(self->choice.pull_floor_milliseconds * 1000));
--- a/src/simplatform/node.cc
+++ b/src/simplatform/node.cc
@@ -1,6 +1,6 @@
 #include "simplatform/node.h"
 
-#include "gateway/http.h"
+#include "http_api/responses.h"
 
 namespace herontally::simplatform {
 
@@ -46,21 +46,21 @@
     }
   }
 
-  void serve_request(const runtime::inbound_request& incoming, const gateway::writer& out) {
+  void serve_request(const runtime::inbound_request& incoming, const http_api::writer& out) {
     if (silent) return out->cut();
-    if (gateway::common_pages(incoming, out, logger, true)) return;
+    if (http_api::common_pages(incoming, out, logger, true)) return;
     if (incoming.path == "/v1/engines" && incoming.method == "GET")
-      return gateway::reply_json(out, 200, {{"engines", shown}});
+      return http_api::reply_json(out, 200, {{"engines", shown}});
     if (incoming.path == "/v1/nodes" && incoming.method == "GET")
-      return gateway::reply_json(out, 200, {{"ready", ready}});
+      return http_api::reply_json(out, 200, {{"ready", ready}});
     if (incoming.path == "/v1/engines" && incoming.method == "PUT") {
       auto body = json::parse(incoming.body, nullptr, false);
       if (!body.is_object() || !body.contains("engines") || !body["engines"].is_array())
-        return gateway::reject(out, 400, "engines must be a list", gateway::executed::no);
+        return http_api::reject(out, 400, "engines must be a list", http_api::executed::no);
       set(body["engines"]);
-      return gateway::reply_json(out, 200, {{"taken", true}});
+      return http_api::reply_json(out, 200, {{"taken", true}});
     }
-    auto parts = gateway::split_path(incoming.path);
+    auto parts = http_api::split_path(incoming.path);
     if (parts.size() == 4 && parts[1] == "engines" && incoming.method == "POST") {
       json engines = json::array();
       for (auto entry : choice.engines) {
@@ -69,9 +69,9 @@
         engines.push_back(entry);
       }
       set(engines);
-      return gateway::reply_json(out, 200, {{"taken", true}});
+      return http_api::reply_json(out, 200, {{"taken", true}});
     }
-    gateway::reject(out, 404, "no such page", gateway::executed::no);
+    http_api::reject(out, 404, "no such page", http_api::executed::no);
   }
 };
 
@@ -88,7 +88,7 @@
 task<std::optional<std::string>> node::start() {
   std::weak_ptr<state> weak = state_;
   bool served = state_->runtime.http_serve(state_->choice.http,
-                                           [weak](runtime::inbound_request incoming, gateway::writer out) {
+                                           [weak](runtime::inbound_request incoming, http_api::writer out) {
                                              if (auto here = weak.lock()) here->serve_request(incoming, out);
                                            });
   if (!served) co_return "http can't be listened on: " + state_->choice.http;
--- a/src/storage_node/main.cc
+++ b/src/storage_node/main.cc
@@ -1,7 +1,7 @@
 #include "runtime/program.h"
 #include "storage_node/node.h"
 
-int main(int count, char** words) {
+int main(int argc, char** argv) {
   return herontally::runtime::run_program<herontally::storage_node::node>(
-      count, words, "hstore", "keeps the program ledger, chains and receipts on disk");
+      argc, argv, "storage_node", "keeps the program ledger, chains and call records on disk");
 }
--- a/src/storage_node/node.cc
+++ b/src/storage_node/node.cc
@@ -1,6 +1,6 @@
 #include "storage_node/node.h"
 
-#include "gateway/http.h"
+#include "http_api/responses.h"
 #include "membership/member_list.h"
 #include "replication/voter.h"
 #include "storage_node/expiry.h"
@@ -72,10 +72,10 @@
   self->runtime.spawn(expire_forever(self->voter, self->group, self->known));
   self->runtime.spawn(state::watch_forever(self));
   bool served = self->runtime.http_serve(
-      self->place.http, [weak](runtime::inbound_request handle_record, gateway::writer out) {
+      self->place.http, [weak](runtime::inbound_request handle_record, http_api::writer out) {
         auto here = weak.lock();
-        if (!here || gateway::common_pages(handle_record, out, here->logger, here->ready)) return;
-        gateway::reject(out, 404, "no such page", gateway::executed::no);
+        if (!here || http_api::common_pages(handle_record, out, here->logger, here->ready)) return;
+        http_api::reject(out, 404, "no such page", http_api::executed::no);
       });
   if (!served) co_return "http can't be listened on: " + self->place.http;
   self->logger.info("started", {{"voter", self->voter.id()}, {"keys", self->voter.records().record_count()}});
--- a/src/storage_node/program_expiry.cc
+++ b/src/storage_node/program_expiry.cc
@@ -1,6 +1,7 @@
 #include <limits>
 
-#include "ledger/program_head.h"
+#include "ledger/conversation_record.h"
+#include "ledger/program_record.h"
 #include "storage_node/expiry.h"
 
 namespace herontally::storage_node {
@@ -10,48 +11,50 @@
 using runtime::task;
 
 namespace {
-// So many records are looked at before others have their turn at the process.
-constexpr int one_step = 300;
+// Records that are examined before other tasks of the process run.
+constexpr int records_per_step = 300;
 
 // A round that had its promise here may still be under way: its ballot begins with the wall clock.
-bool may_go(std::int64_t wall, const rpc::ballot& promised, const std::optional<std::string>& value) {
-  std::int64_t sure = wall - ledger::keep_margin;
+bool is_removable(std::int64_t wall, const rpc::ballot& promised, const std::optional<std::string>& value) {
+  std::int64_t sure = wall - ledger::retention_margin;
   if (promised.counter > sure) return false;
   // Only promised to, and nothing came of it.
   if (!value) return true;
-  auto head = ledger::program_head_from(*value);
-  return head && ledger::is_overdue(*head, sure);
+  auto record = ledger::program_record_from_text(*value);
+  return record && ledger::is_expired(*record, sure);
 }
 
-task<> clear_heads(replication::voter voter, runtime::handle runtime, logging::logger logger, int bucket) {
+task<> remove_expired_programs(replication::voter voter, runtime::handle runtime, logging::logger logger,
+                               int bucket) {
   std::string after;
   const std::string prefix = std::string("k/") + ledger::program_prefix;
   do {
     std::vector<std::string> overdue;
     auto handle_record = [&](const std::string& record, const std::string& bytes) {
       auto content = replica_storage::unpack_cell(bytes);
-      if (may_go(runtime.wall(), content.promised, content.accepted_value()))
+      if (is_removable(runtime.wall(), content.promised, content.accepted_value()))
         overdue.push_back(record.substr(2));
     };
-    after = voter.records().for_each_record(bucket, prefix, after, one_step, handle_record);
+    after = voter.records().for_each_record(bucket, prefix, after, records_per_step, handle_record);
     auto sure = [runtime](const rpc::ballot& promised, const std::optional<std::string>& value) {
-      return may_go(runtime.wall(), promised, value);
+      return is_removable(runtime.wall(), promised, value);
     };
-    int gone = co_await voter.remove_registers_if(std::move(overdue), sure);
-    logger.count("herontally_programs_expired_total", gone);
+    int removed = co_await voter.remove_registers_if(std::move(overdue), sure);
+    logger.count("herontally_programs_expired_total", removed);
     co_await runtime.sleep(5 * millisecond);
   } while (!after.empty());
 }
 
-task<> clear_turns(replication::voter voter, runtime::handle runtime, logging::logger logger, int bucket) {
+task<> remove_expired_turns(replication::voter voter, runtime::handle runtime, logging::logger logger,
+                            int bucket) {
   std::string after;
   const std::string prefix = std::string("c/") + ledger::turn_prefix;
   do {
     std::vector<std::string> overdue;
     auto handle_record = [&](const std::string& record, std::int64_t kept_until) {
-      if (runtime.wall() - ledger::keep_margin > kept_until) overdue.push_back(record.substr(2));
+      if (runtime.wall() - ledger::retention_margin > kept_until) overdue.push_back(record.substr(2));
     };
-    after = voter.records().for_each_attribute(bucket, prefix, after, one_step, handle_record);
+    after = voter.records().for_each_attribute(bucket, prefix, after, records_per_step, handle_record);
     if (!overdue.empty()) {
       logger.count("herontally_turns_expired_total", static_cast<double>(overdue.size()));
       co_await voter.remove_contents(std::move(overdue));
@@ -72,8 +75,8 @@
     co_await runtime.sleep(5 * second + static_cast<runtime::microseconds>(runtime.draw(500 * millisecond)));
     if (voter.current_view().number == 0) continue;
     for (int bucket = 0; bucket < static_cast<int>(voter.records().buckets().size()); ++bucket) {
-      co_await clear_heads(voter, runtime, logger, bucket);
-      co_await clear_turns(voter, runtime, logger, bucket);
+      co_await remove_expired_programs(voter, runtime, logger, bucket);
+      co_await remove_expired_turns(voter, runtime, logger, bucket);
     }
   }
 }
--- a/tests/bad_input.py
+++ b/tests/bad_input.py
@@ -4,8 +4,8 @@
 folder, build = sys.argv[1], sys.argv[2]
 fleet = json.load(open(folder + "/fleet.json"))
 nodes, site = fleet["nodes"], fleet["site"]
-door = next(n["http"] for n in nodes.values() if n["role"] == "hproxy")
-core = next(n["http"] for n in nodes.values() if n["role"] == "hcore")
+door = next(n["http"] for n in nodes.values() if n["role"] == "proxy")
+core = next(n["http"] for n in nodes.values() if n["role"] == "control_node")
 program, route = {"swanreach": ("exchange", "labels"), "zastavica": ("rollout", "audit-pulls")}[site]
 ANY, OWN, OTHER = "fleet-operator-token", site + "-operator-token", "nobody-knows-this"
 
@@ -107,7 +107,7 @@
 
 # Garbage on the inner ports closes that channel; the process goes on and counts it.
 for node in nodes.values():
-    if node["role"] in ("hcore", "hstore", "hagent", "hproxy"):
+    if node["role"] in ("control_node", "storage_node", "agent", "proxy"):
         for garbage in (b"\xff" * 64, b"\x00\x00\x00\x05" + b"\x01" * 9 + b"hello", b"\x00\x00\x00\x04" + b"\x00" * 9 + b"abcd"):
             host, port = node["inner"].split(":")
             with socket.create_connection((host, int(port)), timeout=5) as channel:
@@ -132,12 +132,12 @@
     good = json.load(open(folder + "/settings/core-1.json"))
     good.update(spoiled)
     json.dump(good, open(settings, "w"))
-    program_says([build + "/hcore", "--settings", settings], 2, field)
-for name in ("hcore", "hstore", "hagent", "hproxy", "simengine", "simplatform", "simcaller", "hctl", "htrace", "hsim"):
+    program_says([build + "/control_node", "--settings", settings], 2, field)
+for name in ("control_node", "storage_node", "agent", "proxy", "simengine", "simplatform", "simcaller", "hctl", "htrace", "hsim"):
     program_says([build + "/" + name, "--no-such-flag"], 2, "no-such-flag")
     helped = subprocess.run([build + "/" + name, "--help"], stdout=subprocess.PIPE, timeout=20)
     assert helped.returncode == 0 and b"Usage" in helped.stdout, name
-program_says([build + "/hstore", "--settings", "/no/such/file"], 2, "--settings")
+program_says([build + "/storage_node", "--settings", "/no/such/file"], 2, "--settings")
 open(settings, "w").write("{")
-program_says([build + "/hproxy", "--settings", settings], 2, "--settings")
+program_says([build + "/proxy", "--settings", settings], 2, "--settings")
 print("bad input: all answered as promised")
--- a/tests/configuration_test.cc
+++ b/tests/configuration_test.cc
@@ -143,7 +143,7 @@
             {"seeds", {"127.0.0.1:7101", "127.0.0.1:7103", "127.0.0.1:7105"}},
             {"data", "x"},
             {"platform", "127.0.0.1:7900"}};
-  REQUIRE(std::holds_alternative<settings::settings>(settings::from_json(good, "hcore")));
+  REQUIRE(std::holds_alternative<settings::settings>(settings::from_json(good, "control_node")));
   std::vector<std::pair<const char*, json>> cases{{"name", "a b"},
                                                   {"zone", 5},
                                                   {"inner", "localhost:7101"},
@@ -160,7 +160,7 @@
   for (auto& [field, value] : cases) {
     auto bad = good;
     bad[field] = value;
-    auto result = settings::from_json(bad, "hcore");
+    auto result = settings::from_json(bad, "control_node");
     INFO(field << " = " << value.dump());
     REQUIRE(std::holds_alternative<settings::fault>(result));
     REQUIRE(std::get<settings::fault>(result).field == field);
--- a/tests/control_catch_up_test.cc
+++ b/tests/control_catch_up_test.cc
@@ -1,5 +1,5 @@
 // Hundreds of changes, and then a core that was away for all of them.
-#include "control_setting.h"
+#include "control_site_fixture.h"
 
 using namespace herontally;
 using namespace herontally::tests;
--- a/tests/control_setting.h
+++ b/tests/control_site_fixture.h
@@ -49,7 +49,7 @@
     place.zone = "z" + name.substr(1);
     place.inner = inner(name);
     place.http = place.inner.substr(0, place.inner.size() - 4) + "8000";
-    place.control = role == "hcore" ? control(name) : "";
+    place.control = role == "control_node" ? control(name) : "";
     place.seeds = {inner("c1"), inner("c2"), inner("c3")};
     place.data = "data";
     place.platform = "10.0.2.1:80";
@@ -64,9 +64,9 @@
   }
   void boot_core(const std::string& name, bool founding = true) {
     std::shared_ptr<const platform_protocol::adapter> speech = words;
-    boot<control_node::node>(name, "hcore", founding, speech);
+    boot<control_node::node>(name, "control_node", founding, speech);
   }
-  void boot_store(const std::string& name) { boot<storage_node::node>(name, "hstore", false); }
+  void boot_store(const std::string& name) { boot<storage_node::node>(name, "storage_node", false); }
   void boot_all() {
     for (auto name : {"c1", "c2", "c3"}) boot_core(name);
     for (auto name : {"s1", "s2", "s3"}) boot_store(name);
--- a/tests/control_test.cc
+++ b/tests/control_test.cc
@@ -1,5 +1,5 @@
 // The control side on a platform of the users': founding from seeds, the operator's calls, the engine list.
-#include "control_setting.h"
+#include "control_site_fixture.h"
 
 using namespace herontally;
 using namespace herontally::tests;
--- a/tests/fleet_addresses_test.py
+++ b/tests/fleet_addresses_test.py
@@ -18,7 +18,7 @@
         return fleet
 
     def addresses(self, fleet, count):
-        nodes = [fleet.add_node("node-%d" % (len(fleet.state["nodes"]) + 1), "hstore", "") for _ in range(count)]
+        nodes = [fleet.add_node("node-%d" % (len(fleet.state["nodes"]) + 1), "storage_node", "") for _ in range(count)]
         return [node[part] for node in nodes for part in ("inner", "http")]
 
     def test_no_address_twice(self):
--- a/tests/fleet_failures.py
+++ b/tests/fleet_failures.py
@@ -42,13 +42,13 @@
 
 
 def doors():
-    return [node["http"] for node in nodes("hproxy").values()]
+    return [node["http"] for node in nodes("proxy").values()]
 
 
 def core_says(method, path, headers=TOKEN, body=None):
     """Asks one core after the other until one gives an answer that is not "come back"."""
     def ask():
-        for node in nodes("hcore").values():
+        for node in nodes("control_node").values():
             status, text = http(node["http"], method, path, body, headers)
             if status not in (0, 503):
                 return status, text
@@ -131,7 +131,7 @@
     return end
 
 
-def all_ready(role="hproxy"):
+def all_ready(role="proxy"):
     return all(http(node["http"], "GET", "/readyz")[0] == 200 for node in nodes(role).values())
 
 
@@ -181,9 +181,9 @@
     return 0
 
 
-until("store-3 votes again", lambda: view("hstore", "store-3") >= 3)
+until("store-3 votes again", lambda: view("storage_node", "store-3") >= 3)
 check("wiped store let in again")
-fleet("add", "hstore", "store-4", nodes()["store-1"]["zone"])
+fleet("add", "storage_node", "store-4", nodes()["store-1"]["zone"])
 until("the spare is known", lambda: b"store-4" in core_says("GET", "/v1/members")[1])
 until("retirement begun", lambda: core_says("PUT", "/v1/storage/store-1/retirement")[0] in (200, 202, 409))
 until("store-1 may go", lambda: core_says("DELETE", "/v1/storage/store-1/retirement")[0] == 200)
@@ -192,7 +192,7 @@
 
 fleet("wipe", "core-1")
 fleet("start", "core-1")
-until("core-1 is ready", lambda: all_ready("hcore"))
+until("core-1 is ready", lambda: all_ready("control_node"))
 check("wiped core let in again")
 
 status, _ = core_says("PUT", "/v1/zones/%s/evacuation" % zone)
--- a/tests/fleet_processes_test.py
+++ b/tests/fleet_processes_test.py
@@ -21,7 +21,7 @@
         with tempfile.TemporaryDirectory() as folder:
             fleet = Fleet(folder, folder)
             fleet.state = {"nodes": {}}
-            node = fleet.add_node("node", "hstore", "")
+            node = fleet.add_node("node", "storage_node", "")
             host, port = node["http"].rsplit(":")
             for _ in range(40):
                 process = subprocess.Popen([sys.executable, "-c", CHILD, host, port], stdout=subprocess.PIPE)
--- a/tests/idle_limit_test.cc
+++ b/tests/idle_limit_test.cc
@@ -1,5 +1,5 @@
 // How long a connection may have been idle before a request is risked on it.
-#include "forward/idle_limit.h"
+#include "router/idle_limit.h"
 
 #include <catch2/catch.hpp>
 
@@ -8,7 +8,7 @@
 using runtime::second;
 
 TEST_CASE("a request lost on an idle connection shortens the rest that later ones risk") {
-  forward::idle_limit limits;
+  router::idle_limit limits;
   auto now = 1000 * second;
   auto before = limits.longest("s", false, now);
   CHECK(before > 300 * millisecond);
@@ -24,7 +24,7 @@
 }
 
 TEST_CASE("a loss on a connection that was just in use says nothing about idle ones") {
-  forward::idle_limit limits;
+  router::idle_limit limits;
   auto now = 1000 * second;
   auto before = limits.longest("s", false, now);
   limits.lost("s", 5 * millisecond, now);
--- a/tests/platform_calls_test.cc
+++ b/tests/platform_calls_test.cc
@@ -1,5 +1,5 @@
 // The operator's calls, their ends, the list of engines and reports, in the platform's words.
-#include "platform_setting.h"
+#include "platform_fixture.h"
 
 using namespace herontally;
 using namespace herontally::tests;
@@ -55,7 +55,8 @@
   CHECK(status(command_status::done, platform_protocol::read_command{}).body == "{ \"as\": \"sent\" }");
   CHECK(status(command_status::rolling, platform_protocol::retire_status_command{}).body ==
         "{\"phase\":\"rolling\"}");
-  CHECK(status(command_status::done, platform_protocol::retire_status_command{}).body == "{\"phase\":\"complete\"}");
+  CHECK(status(command_status::done, platform_protocol::retire_status_command{}).body ==
+        "{\"phase\":\"complete\"}");
   CHECK(status(command_status::stale).status == 412);
   CHECK(status(command_status::invalid).status == 400);
   CHECK(status(command_status::unknown_name).status == 404);
@@ -83,7 +84,7 @@
   CHECK(page->next == "p-50");
   CHECK(page->engines[0].id == "i-1");
   CHECK(page->engines[0].draining);
-  CHECK(page->engines[0].cold_ms == 120);
+  CHECK(page->engines[0].slow_start_milliseconds == 120);
   CHECK(page->engines[0].release == "v1");
   auto last = speech.read_list(json{{"servers", json::array()}, {"next_token", nullptr}}.dump());
   REQUIRE(last);
--- a/tests/platform_operators_test.cc
+++ b/tests/platform_operators_test.cc
@@ -1,5 +1,5 @@
 // The operator's calls, the list of engines and the reports, in the users' platform's words.
-#include "platform_setting.h"
+#include "platform_fixture.h"
 
 using namespace herontally;
 using namespace herontally::tests;
@@ -13,10 +13,10 @@
   auto& talk = got.table.routes[0];
   CHECK(talk.kind == routing::category::streaming);
   CHECK(talk.deadline == 4000);
-  CHECK(talk.aim == 200);
+  CHECK(talk.latency_target == 200);
   CHECK(talk.tries == 2);
   CHECK(talk.keep == 60000);
-  CHECK(talk.gap == 300);
+  CHECK(talk.interval_target == 300);
   CHECK((talk.kept && talk.affine && !talk.resumable));
   CHECK(talk.targets[0].share == 90);
   CHECK(got.table.routes[1].targets[0].service == "tool");
@@ -26,7 +26,7 @@
   CHECK(chat->cold_rate == 22.5);
   CHECK(chat->model->memory_tokens == 207117);
   CHECK(chat->model->models == std::vector<std::string>{"m"});
-  CHECK(got.table.limits.idle_patience == 15000);
+  CHECK(got.table.limits.idle_timeout == 15000);
 }
 
 TEST_CASE("each invalid configuration is refused with the field that is wrong") {
--- a/tests/platform_site.cc
+++ b/tests/platform_site.cc
@@ -5,8 +5,8 @@
 
 #include "agent/node.h"
 #include "control_node/node.h"
-#include "hproxy/node.h"
 #include "platform/adapter.h"
+#include "proxy/node.h"
 #include "storage_node/node.h"
 
 namespace herontally::psim {
@@ -83,7 +83,7 @@
   if (place.role == "store") start<storage_node::node>(place, "store");
   if (place.role == "edge") {
     start<agent::node>(place, "agent", speech);
-    start<hproxy::node>(place, "proxy", hproxy::adapted{speech, std::nullopt});
+    start<proxy::node>(place, "proxy", proxy::platform_options{speech, std::nullopt});
   }
   judge_.calm(name);
 }
@@ -166,7 +166,7 @@
   if (place.role == "store") leave(name, std::any_cast<std::shared_ptr<storage_node::node>>(node(name)));
   if (place.role == "edge") {
     auto agent = agent_of(name);
-    leave(name, std::any_cast<std::shared_ptr<hproxy::node>>(node(name)));
+    leave(name, std::any_cast<std::shared_ptr<proxy::node>>(node(name)));
     leave(agent, std::any_cast<std::shared_ptr<agent::node>>(node(agent)));
   }
   where_.at(where_.now() + grace, [this, name] {
--- a/tests/platform_site_engines.cc
+++ b/tests/platform_site_engines.cc
@@ -144,10 +144,10 @@
   auto left = field(incoming, "x-time-left-ms");
   auto deadline = runtime.now() + std::stoll(left.empty() ? "4000" : left) * millisecond;
   if (life->running >= life->capacity) {
-    runtime::slot<bool> bell(runtime);
-    life->queue.push_back(bell);
-    auto timer = runtime.after(deadline - runtime.now(), [bell] { bell.set(false); });
-    co_await bell.wait();
+    runtime::slot<bool> notifier(runtime);
+    life->queue.push_back(notifier);
+    auto timer = runtime.after(deadline - runtime.now(), [notifier] { notifier.set(false); });
+    co_await notifier.wait();
     runtime.cancel(timer);
     std::erase_if(life->queue, [](auto& each) { return each.is_set(); });
     if (out->closed()) co_return;
--- a/tests/pool_loss_test.cc
+++ b/tests/pool_loss_test.cc
@@ -1,5 +1,5 @@
 // Kept connections that are lost, reset or answered early.
-#include "pool_setting.h"
+#include "http_pool_fixture.h"
 
 using namespace loopback;
 
--- a/tests/pool_test.cc
+++ b/tests/pool_test.cc
@@ -1,5 +1,5 @@
 // The client's kept connections against a raw server on the loopback.
-#include "pool_setting.h"
+#include "http_pool_fixture.h"
 
 using namespace loopback;
 
--- a/tests/programs_store_test.cc
+++ b/tests/program_expiry_test.cc
@@ -1,13 +1,13 @@
 // What the ledger of branching programs costs its stores, and what they clear away again.
 #include <catch2/catch.hpp>
 
-#include "ledger/programs.h"
+#include "ledger/program_ledger.h"
 #include "replica_group_fixture.h"
 #include "storage_node/expiry.h"
 
 using namespace herontally;
-using ledger::reserve_end;
-using ledger::settle_result;
+using ledger::program_reservation;
+using ledger::program_settlement;
 using runtime::second;
 using tests::group;
 
@@ -22,7 +22,7 @@
 TEST_CASE("idle programs and turns past their time leave every store, and don't come back") {
   group site(34);
   auto writer = site.begin();
-  ledger::programs book(writer);
+  ledger::program_ledger programs(writer);
   for (auto& name : {"s1", "s2", "s3"})
     site.world.runtime_of(name).spawn(storage_node::expire_programs_forever(
         *site.voters[name], site.world.runtime_of(name), logging::logger(name, [](auto&, auto&) {})));
@@ -30,17 +30,17 @@
   auto early = record_of("early", ""), late = record_of("late", "");
   early.kept_until = wall + 60 * second;
   late.kept_until = wall + 400 * second;
-  REQUIRE(site.run("w", book.keep(early, site.deadline("w", 2 * second))));
-  REQUIRE(site.run("w", book.keep(late, site.deadline("w", 2 * second))));
+  REQUIRE(site.run("w", programs.keep_turn(early, site.deadline("w", 2 * second))));
+  REQUIRE(site.run("w", programs.keep_turn(late, site.deadline("w", 2 * second))));
   auto reserve = [&](const std::string& program, const std::string& turn) {
-    return site.run("w", book.reserve(program, turn, 10, 10, site.deadline("w", 2 * second)));
+    return site.run("w", programs.reserve(program, turn, 10, 10, site.deadline("w", 2 * second)));
   };
   auto settle = [&](const std::string& program, const std::string& turn) {
-    return site.run("w", book.settle(program, turn, 10, site.deadline("w", 2 * second)));
+    return site.run("w", programs.settle(program, turn, 10, site.deadline("w", 2 * second)));
   };
-  REQUIRE(reserve("idle", "a") == reserve_end::granted);
-  REQUIRE(settle("idle", "a") == settle_result::settled);
-  REQUIRE(reserve("running", "b") == reserve_end::granted);
+  REQUIRE(reserve("idle", "a") == program_reservation::granted);
+  REQUIRE(settle("idle", "a") == program_settlement::settled);
+  REQUIRE(reserve("running", "b") == program_reservation::granted);
   auto everywhere = [&](const std::string& record) {
     int holders = 0;
     for (auto& name : {"s1", "s2", "s3"})
@@ -49,7 +49,7 @@
   };
   site.world.run_for(50 * second);
   REQUIRE(everywhere("c/turn/early") == 3);
-  REQUIRE(reserve("idle", "c") == reserve_end::spent);
+  REQUIRE(reserve("idle", "c") == program_reservation::budget_spent);
   site.world.run_for(60 * second);
   REQUIRE(everywhere("c/turn/early") == 0);
   REQUIRE(everywhere("c/turn/late") == 3);
@@ -58,31 +58,31 @@
   REQUIRE(everywhere("k/program/idle") == 0);
   // An open reservation holds a head for longer.
   REQUIRE(everywhere("k/program/running") == 3);
-  REQUIRE(reserve("idle", "d") == reserve_end::granted);
-  REQUIRE(reserve("idle", "e") == reserve_end::spent);
+  REQUIRE(reserve("idle", "d") == program_reservation::granted);
+  REQUIRE(reserve("idle", "e") == program_reservation::budget_spent);
 }
 
 TEST_CASE("turns that come together share the stores' syncs and the programs' rounds") {
   group site(35);
   for (auto& name : {"s1", "s2", "s3"}) site.world.find(name).disk.sync_time = 500;
   auto writer = site.begin();
-  ledger::programs book(writer);
+  ledger::program_ledger programs(writer);
   auto turns = std::make_shared<int>(0);
-  auto live = [](ledger::programs book, runtime::handle runtime, std::string name,
+  auto live = [](ledger::program_ledger programs, runtime::handle runtime, std::string name,
                  std::shared_ptr<int> turns) -> runtime::task<> {
     std::string previous;
     for (int each = 0; each < 40; ++each) {
       std::string id = name + "." + std::to_string(each);
-      auto end = co_await book.reserve(name, id, 1 << 30, 10, runtime.now() + 2 * second);
-      CHECK(end == reserve_end::granted);
+      auto end = co_await programs.reserve(name, id, 1 << 30, 10, runtime.now() + 2 * second);
+      CHECK(end == program_reservation::granted);
       co_await runtime.sleep(static_cast<runtime::microseconds>(runtime.draw(400000)));
-      bool kept = co_await book.keep(record_of(id, previous), runtime.now() + 2 * second);
+      bool kept = co_await programs.keep_turn(record_of(id, previous), runtime.now() + 2 * second);
       CHECK(kept);
       // Nobody waits for this.
-      runtime.spawn([](ledger::programs book, std::string name, std::string id,
+      runtime.spawn([](ledger::program_ledger programs, std::string name, std::string id,
                        runtime::microseconds deadline) -> runtime::task<> {
-        co_await book.settle(name, id, 5, deadline);
-      }(book, name, id, runtime.now() + 2 * second));
+        co_await programs.settle(name, id, 5, deadline);
+      }(programs, name, id, runtime.now() + 2 * second));
       previous = id;
       ++*turns;
     }
@@ -91,7 +91,7 @@
   auto begin = site.world.now();
   for (int program = 0; program < 32; ++program)
     site.world.runtime_of("w").spawn(
-        live(book, site.world.runtime_of("w"), "p" + std::to_string(program), turns));
+        live(programs, site.world.runtime_of("w"), "p" + std::to_string(program), turns));
   REQUIRE(site.world.run_until([&] { return *turns == 32 * 40; }, 60 * second));
   double seconds = static_cast<double>(site.world.now() - begin) / static_cast<double>(second);
   double syncs = static_cast<double>(site.world.find("s1").disk.syncs - syncs_before);
--- a/tests/programs_faults_test.cc
+++ b/tests/program_ledger_faults_test.cc
@@ -1,13 +1,13 @@
 // The ledger of branching programs under faults: racing nodes, lost disks, moving voters.
 #include <catch2/catch.hpp>
 
-#include "ledger/program_head.h"
+#include "ledger/program_record.h"
 #include "replica_group_fixture.h"
 
 using namespace herontally;
 using ledger::chain_result;
-using ledger::reserve_end;
-using ledger::settle_result;
+using ledger::program_reservation;
+using ledger::program_settlement;
 using runtime::millisecond;
 using runtime::second;
 using tests::group;
@@ -37,24 +37,25 @@
   }
 };
 
-runtime::task<> run_turns(runtime::handle runtime, ledger::programs book, std::shared_ptr<oracle> known,
-                          std::string name, int count) {
+runtime::task<> run_turns(runtime::handle runtime, ledger::program_ledger programs,
+                          std::shared_ptr<oracle> known, std::string name, int count) {
   for (int each = 0; each < count; ++each) {
     std::string id = name + "." + std::to_string(each);
     std::int64_t most = 1 + static_cast<std::int64_t>(runtime.draw(60));
     std::int64_t before = known->taken_up();
     known->turns[id].most = most;
     known->most_of_one = std::max(known->most_of_one, most);
-    auto end = co_await book.reserve("chat", id, known->budget, most, runtime.now() + 800 * millisecond);
+    auto end = co_await programs.reserve("chat", id, known->budget, most, runtime.now() + 800 * millisecond);
     // Others may have settled less while this one was under way: what was taken up before counts as well.
     std::int64_t others = std::max(before, known->taken_up() - most);
-    if (end == reserve_end::spent) {
+    if (end == program_reservation::budget_spent) {
       CHECK(others >= known->budget);
       ++known->spent;
     }
-    known->turns[id].may_be_reserved = end == reserve_end::granted || end == reserve_end::unknown;
-    if (end == reserve_end::unknown) ++known->uncertain;
-    if (end == reserve_end::granted) {
+    known->turns[id].may_be_reserved =
+        end == program_reservation::granted || end == program_reservation::unknown;
+    if (end == program_reservation::unknown) ++known->uncertain;
+    if (end == program_reservation::granted) {
       ++known->granted;
       co_await runtime.sleep(static_cast<runtime::microseconds>(runtime.draw(50000)));
       std::int64_t went_out = static_cast<std::int64_t>(runtime.draw(static_cast<std::uint64_t>(most) + 1));
@@ -62,8 +63,8 @@
       CHECK(known->handed_out() <= known->budget + known->most_of_one);
       // Some nodes forget.
       if (runtime.draw(8) > 0) {
-        auto settled = co_await book.settle("chat", id, went_out, runtime.now() + 800 * millisecond);
-        known->turns[id].settled = settled == settle_result::settled;
+        auto settled = co_await programs.settle("chat", id, went_out, runtime.now() + 800 * millisecond);
+        known->turns[id].settled = settled == program_settlement::settled;
       }
     }
     co_await runtime.sleep(static_cast<runtime::microseconds>(runtime.draw(100000)));
@@ -96,10 +97,10 @@
     for (auto* node : {"wa", "wb"}) {
       auto writer = site.writer(node);
       writer.learn(first.current_view());
-      ledger::programs book(writer);
+      ledger::program_ledger programs(writer);
       for (int task = 0; task < 4; ++task)
         site.world.runtime_of(node).spawn(
-            run_turns(site.world.runtime_of(node), book, known, node + std::to_string(task), 10));
+            run_turns(site.world.runtime_of(node), programs, known, node + std::to_string(task), 10));
     }
     for (int fault = 0; fault < 5; ++fault) {
       site.world.run_for(static_cast<runtime::microseconds>(site.world.draw(300000)));
@@ -131,32 +132,32 @@
 TEST_CASE("a kept turn is missing only by a majority's word: a store that lost its disk has none") {
   group site(31);
   auto writer = site.begin();
-  ledger::programs book(writer);
+  ledger::program_ledger programs(writer);
   site.world.cut("w", "s3");
   for (auto& [id, previous] : std::vector<std::pair<std::string, std::string>>{{"a", ""}, {"b", "a"}})
-    REQUIRE(site.run("w", book.keep(record_of(id, previous), site.deadline("w", 2 * second))));
+    REQUIRE(site.run("w", programs.keep_turn(record_of(id, previous), site.deadline("w", 2 * second))));
   auto other = site.writer("v");
   other.learn(writer.current_view());
   auto look = [&](const std::string& last) {
-    return site.run("v", ledger::programs(other).chain(last, site.deadline("v", second)));
+    return site.run("v", ledger::program_ledger(other).read_chain(last, site.deadline("v", second)));
   };
   // At once, before repair brings the third what it missed.
   site.world.kill("s1", hsim::disk_loss::all, true);
   site.world.kill("s2", hsim::disk_loss::none, true);
   site.boot("s1");
   for (auto* store : {"s1"}) site.world.cut(store, "s3");
-  REQUIRE(look("b").end == chain_result::what::unreachable);
-  REQUIRE(look("never").end == chain_result::what::unreachable);
+  REQUIRE(look("b").status == ledger::chain_status::unreachable);
+  REQUIRE(look("never").status == ledger::chain_status::unreachable);
   site.boot("s2");
   auto found = look("b");
-  REQUIRE(found.end == chain_result::what::found);
+  REQUIRE(found.status == ledger::chain_status::found);
   REQUIRE(found.turns.size() == 2);
-  REQUIRE(look("never").end == chain_result::what::missing);
+  REQUIRE(look("never").status == ledger::chain_status::missing);
   // An ancestor that no majority has makes the whole chain missing.
-  REQUIRE(site.run("w", book.keep(record_of("d", "lost"), site.deadline("w", 2 * second))) == false);
+  REQUIRE(site.run("w", programs.keep_turn(record_of("d", "lost"), site.deadline("w", 2 * second))) == false);
   site.world.heal("w", "s3");
-  REQUIRE(site.run("w", book.keep(record_of("e", "lost"), site.deadline("w", 2 * second))));
-  REQUIRE(look("e").end == chain_result::what::missing);
+  REQUIRE(site.run("w", programs.keep_turn(record_of("e", "lost"), site.deadline("w", 2 * second))));
+  REQUIRE(look("e").status == ledger::chain_status::missing);
 }
 
 TEST_CASE("a turn that was kept while a voter was replaced survives the next loss") {
@@ -170,18 +171,18 @@
     auto going = std::make_shared<bool>(true);
     auto other = site.writer("v");
     other.learn(writer.current_view());
-    auto keep_on = [](ledger::programs book, runtime::handle runtime, std::string name,
+    auto keep_on = [](ledger::program_ledger programs, runtime::handle runtime, std::string name,
                       std::shared_ptr<std::vector<std::string>> kept,
                       std::shared_ptr<bool> going) -> runtime::task<> {
       for (int each = 0; *going; ++each) {
         std::string id = name + std::to_string(each);
-        bool lasting = co_await book.keep(record_of(id, ""), runtime.now() + 2 * second);
+        bool lasting = co_await programs.keep_turn(record_of(id, ""), runtime.now() + 2 * second);
         if (lasting) kept->push_back(id);
         co_await runtime.sleep(static_cast<runtime::microseconds>(runtime.draw(20000)));
       }
     };
     for (int task = 0; task < 4; ++task)
-      site.world.runtime_of("v").spawn(keep_on(ledger::programs(other), site.world.runtime_of("v"),
+      site.world.runtime_of("v").spawn(keep_on(ledger::program_ledger(other), site.world.runtime_of("v"),
                                                "t" + std::to_string(task) + ".", kept, going));
     site.world.run_for(300 * millisecond);
     std::string lost = "s" + std::to_string(1 + seed % 3);
@@ -207,11 +208,11 @@
     site.world.kill(lost == "s1" ? "s2" : "s1", hsim::disk_loss::all, true);
     auto reader = site.writer("r");
     reader.learn(writer.current_view());
-    ledger::programs cold(reader);
+    ledger::program_ledger cold(reader);
     for (auto& id : *kept) {
       INFO("turn " << id);
-      auto found = site.run("r", cold.chain(id, site.deadline("r", 5 * second)));
-      REQUIRE(found.end == chain_result::what::found);
+      auto found = site.run("r", cold.read_chain(id, site.deadline("r", 5 * second)));
+      REQUIRE(found.status == ledger::chain_status::found);
     }
     kept_in_all += static_cast<int>(kept->size());
   }
--- a/tests/waiting_list_test.cc
+++ b/tests/request_queue_test.cc
@@ -1,5 +1,5 @@
 // The order in which requests wait for an engine.
-#include "forward/waiting_list.h"
+#include "router/request_queue.h"
 
 #include <catch2/catch.hpp>
 
@@ -10,7 +10,7 @@
 
 namespace {
 
-runtime::task<> wait_in(std::shared_ptr<forward::waiting_list> list, runtime::handle runtime,
+runtime::task<> wait_in(std::shared_ptr<router::request_queue> list, runtime::handle runtime,
                         std::int64_t urgency, std::string name,
                         std::shared_ptr<std::vector<std::string>> woken) {
   runtime::slot<bool> waiter(runtime);
@@ -26,13 +26,13 @@
   world.machine("node", "z");
   world.boot("node");
   auto runtime = world.runtime_of("node");
-  auto list = std::make_shared<forward::waiting_list>();
+  auto list = std::make_shared<router::request_queue>();
   auto woken = std::make_shared<std::vector<std::string>>();
   runtime.spawn(wait_in(list, runtime, 5, "usual", woken));
   runtime.spawn(wait_in(list, runtime, 1, "urgent", woken));
   runtime.spawn(wait_in(list, runtime, 5, "usual too", woken));
   world.run_for(millisecond);
-  list->wake_all();
+  list->notify_all();
   world.run_for(millisecond);
   CHECK(*woken == std::vector<std::string>{"urgent", "usual", "usual too"});
 }
--- a/tests/door_setting.h
+++ b/tests/request_router_fixture.h
@@ -1,12 +1,12 @@
-// A door with its stores, engines that do as they are told, and a client: all simulated, in the platform's
-// words.
+// A request router with its storage machines, engines that do as they are told, and a client: all simulated,
+// in the platform's words.
 #pragma once
 #include <deque>
 
-#include "forward/door.h"
-#include "ledger/programs.h"
+#include "ledger/program_ledger.h"
 #include "platform/adapter.h"
 #include "replica_group_fixture.h"
+#include "router/request_router.h"
 
 namespace herontally::tests {
 
@@ -27,29 +27,29 @@
   std::map<std::string, std::string> headers = {};
 };
 
-struct door_setting {
+struct request_router_fixture {
   group stores;
-  std::shared_ptr<forward::door> door;
+  std::shared_ptr<router::request_router> node_router;
   routing::table table;
   nlohmann::json listed = nlohmann::json::array();
   std::vector<seen_request> seen;
   std::map<std::string, std::deque<behaviour>> next;
   int attempts = 0;
   std::vector<runtime::microseconds> gone_at;  // when engines were told that their request's sender left
-  std::vector<gateway::writer> held;           // of requests that are never answered
+  std::vector<http_api::writer> held;          // of requests that are never answered
 
-  explicit door_setting(std::uint64_t seed) : stores(seed) {
+  explicit request_router_fixture(std::uint64_t seed) : stores(seed) {
     auto writer = stores.begin();
     auto runtime = stores.world.runtime_of("w");
-    forward::door_options choice;
+    router::router_options choice;
     choice.zone = "z";
     logging::logger logger("w", [](auto&, auto&) {});
-    door = std::make_shared<forward::door>(runtime, logger, platform::make_adapter(),
-                                           ledger::programs(writer), choice);
-    runtime.http_serve("10.0.1.1:80",
-                       [door = door, runtime](runtime::inbound_request request, gateway::writer out) {
-                         runtime.spawn(door->serve(std::move(request), std::move(out)));
-                       });
+    node_router = std::make_shared<router::request_router>(runtime, logger, platform::make_adapter(),
+                                                           ledger::program_ledger(writer), choice);
+    runtime.http_serve("10.0.1.1:80", [node_router = node_router, runtime](runtime::inbound_request request,
+                                                                           http_api::writer out) {
+      runtime.spawn(node_router->serve(std::move(request), std::move(out)));
+    });
     table.version = 1;
     for (auto* name : {"apps", "models"}) {
       routing::service service;
@@ -74,7 +74,7 @@
     route.prefix = prefix;
     route.kind = kind;
     route.deadline = 4000;
-    route.aim = 400;
+    route.latency_target = 400;
     route.tries = tries;
     route.targets = {{service, 1}};
     table.routes.push_back(route);
@@ -84,18 +84,18 @@
     std::string address = "10.0.2." + number + ":80";
     stores.world.machine(id, "z");
     stores.world.boot(id);
-    stores.world.runtime_of(id).http_serve(address,
-                                           [this, id](runtime::inbound_request request, gateway::writer out) {
-                                             serve(id, std::move(request), std::move(out));
-                                           });
+    stores.world.runtime_of(id).http_serve(
+        address, [this, id](runtime::inbound_request request, http_api::writer out) {
+          serve(id, std::move(request), std::move(out));
+        });
     listed.push_back(platform_protocol::listed_engine{id, service, address, "z", "v1", 8, 0, false});
   }
   void begin() {
-    door->routing(table, {});
-    door->engines(listed.dump(), {});
-    door->nodes(1, {1, 0});
+    node_router->set_routing(table, {});
+    node_router->set_engines(listed.dump(), {});
+    node_router->set_nodes(1, {1, 0});
   }
-  void serve(const std::string& id, runtime::inbound_request request, gateway::writer out) {
+  void serve(const std::string& id, runtime::inbound_request request, http_api::writer out) {
     seen.push_back({id, request.method, request.target, request.body, request.headers});
     behaviour act;
     if (!next[id].empty()) {
@@ -112,7 +112,7 @@
     else
       answer(id, act, std::move(request), std::move(out));
   }
-  void answer(const std::string& id, behaviour act, runtime::inbound_request request, gateway::writer out) {
+  void answer(const std::string& id, behaviour act, runtime::inbound_request request, http_api::writer out) {
     auto headers = act.headers;
     headers["X-Attempt-Id"] = request.headers["x-attempt-id"];
     if (act.sealed && act.status == 200) headers["X-Server-Seal"] = "seal";
--- a/tests/door_test.cc
+++ b/tests/request_router_test.cc
@@ -1,11 +1,11 @@
-// Requests through the door: what goes on unchanged, what is tried again, and what a client is told.
-#include "door_setting.h"
+// Requests through the router: what goes on unchanged, what is tried again, and what a client is told.
+#include "request_router_fixture.h"
 
 using namespace herontally;
 using namespace herontally::tests;
 
 TEST_CASE("a request and its answer go through unchanged") {
-  door_setting here(11);
+  request_router_fixture here(11);
   here.engine("one", "apps");
   here.begin();
   auto got = here.request("POST", "/write/x%20y?q=1&r=%2F", "a body",
@@ -25,7 +25,7 @@
 }
 
 TEST_CASE("where no route matches the answer is 404, and before anything is in force when to come back") {
-  door_setting here(12);
+  request_router_fixture here(12);
   auto early = here.request("GET", "/fetch/1", "");
   CHECK(early.status == 503);
   CHECK_FALSE(early.headers["retry-after"].empty());
@@ -37,7 +37,7 @@
 }
 
 TEST_CASE("what may run once is sent once, and a lost answer promises nothing") {
-  door_setting here(13);
+  request_router_fixture here(13);
   here.engine("one", "apps");
   here.engine("two", "apps");
   here.begin();
@@ -48,7 +48,7 @@
 }
 
 TEST_CASE("a request that may be repeated goes to another engine, as often as its route allows") {
-  door_setting here(14);
+  request_router_fixture here(14);
   for (auto* id : {"one", "two", "three", "four"}) here.engine(id, "apps");
   here.begin();
   for (auto* id : {"one", "two", "three", "four"}) here.next[id] = {behaviour{.lost = true}};
@@ -60,7 +60,7 @@
 }
 
 TEST_CASE("an engine's promise becomes ours; any other refusal of it does not") {
-  door_setting here(15);
+  request_router_fixture here(15);
   here.engine("one", "apps");
   here.begin();
   here.next["one"] = {behaviour{.status = 503, .not_run = true}};
@@ -74,7 +74,7 @@
 }
 
 TEST_CASE("a success without the engine's stamp is none") {
-  door_setting here(16);
+  request_router_fixture here(16);
   here.engine("one", "apps");
   here.begin();
   here.next["one"] = {behaviour{.sealed = false}};
@@ -82,7 +82,7 @@
 }
 
 TEST_CASE("another engine at the address is noticed, and the request goes to the one that is there") {
-  door_setting here(17);
+  request_router_fixture here(17);
   here.engine("one", "apps");
   here.engine("two", "apps");
   here.begin();
@@ -96,7 +96,7 @@
 }
 
 TEST_CASE("a kept turn gets the chain before it, and nothing but that") {
-  door_setting here(18);
+  request_router_fixture here(18);
   here.engine("model", "models");
   here.begin();
   here.next["model"] = {behaviour{.events = 2}, behaviour{.events = 1}, behaviour{.events = 1}};
@@ -121,7 +121,7 @@
 }
 
 TEST_CASE("a stream that breaks off looks so, and is no turn to go on from") {
-  door_setting here(19);
+  request_router_fixture here(19);
   here.engine("model", "models");
   here.begin();
   here.next["model"] = {behaviour{.events = 3, .break_after = 2}};
@@ -131,7 +131,7 @@
 }
 
 TEST_CASE("a turn is refused once the budget is spent, and not before") {
-  door_setting here(20);
+  request_router_fixture here(20);
   here.engine("model", "models");
   here.begin();
   std::map<std::string, std::string> program{
@@ -147,7 +147,7 @@
 }
 
 TEST_CASE("without a majority of the stores a kept turn is neither run nor denied") {
-  door_setting here(21);
+  request_router_fixture here(21);
   here.engine("model", "models");
   here.begin();
   for (auto* name : {"s1", "s2"}) here.stores.world.kill(name, hsim::disk_loss::none);
--- a/tests/door_time_test.cc
+++ b/tests/request_router_time_test.cc
@@ -1,6 +1,6 @@
 // What a request is owed in time: answers by its deadline, no work for clients that have left, and engines
 // that are told how much time is left.
-#include "door_setting.h"
+#include "request_router_fixture.h"
 
 using namespace herontally;
 using namespace herontally::tests;
@@ -27,7 +27,7 @@
 }  // namespace
 
 TEST_CASE("a request that its engine doesn't answer is answered at its route's deadline") {
-  door_setting here(31);
+  request_router_fixture here(31);
   here.engine("one", "apps");
   here.table.routes[1].deadline = 700;
   here.begin();
@@ -40,7 +40,7 @@
 }
 
 TEST_CASE("a turn whose keeping is late ends soon after its deadline, and not as a whole one") {
-  door_setting here(32);
+  request_router_fixture here(32);
   here.engine("one", "models");
   here.table.routes[2].deadline = 800;
   here.begin();
@@ -57,7 +57,7 @@
 }
 
 TEST_CASE("an engine is told at once that a client has left") {
-  door_setting here(33);
+  request_router_fixture here(33);
   here.engine("one", "apps");
   here.begin();
   here.next["one"] = {behaviour{.silent = true}};
@@ -72,10 +72,10 @@
 }
 
 TEST_CASE("a request whose client left while it waited reaches no engine") {
-  door_setting here(34);
+  request_router_fixture here(34);
   here.engine("one", "apps");
   here.listed[0]["capacity"] = 1;
-  here.table.routes[0].aim = 10000;
+  here.table.routes[0].latency_target = 10000;
   here.begin();
   here.next["one"] = {behaviour{.delay = 600 * millisecond}};
   auto runtime = here.stores.world.runtime_of("client");
@@ -91,7 +91,7 @@
 }
 
 TEST_CASE("an engine that is tried later is told the time that is left then") {
-  door_setting here(35);
+  request_router_fixture here(35);
   for (auto* id : {"one", "two"}) here.engine(id, "apps");
   here.begin();
   here.next["one"] =
@@ -107,7 +107,7 @@
 }
 
 TEST_CASE("without a time of the client's an engine is told its route's") {
-  door_setting here(36);
+  request_router_fixture here(36);
   here.engine("one", "apps");
   here.begin();
   auto request = request_for("GET", "/fetch/1");
@@ -120,7 +120,7 @@
 }
 
 TEST_CASE("a turn whose ledger is out of reach is refused before half of its client's time is over") {
-  door_setting here(37);
+  request_router_fixture here(37);
   here.engine("one", "models");
   here.begin();
   auto& world = here.stores.world;
--- a/tests/forward_test.cc
+++ b/tests/router_plan_test.cc
@@ -2,8 +2,8 @@
 #include <catch2/catch.hpp>
 #include <random>
 
-#include "forward/events.h"
-#include "forward/plan.h"
+#include "router/attempt_plan.h"
+#include "router/event_scanner.h"
 
 using namespace herontally;
 using runtime::millisecond;
@@ -15,7 +15,7 @@
       "x\r\n\r\n";
   std::mt19937_64 random(7);
   for (int turn = 0; turn < 200; ++turn) {
-    forward::event_scanner scanner(true);
+    router::event_scanner scanner(true);
     std::size_t from = 0;
     while (from < stream.size()) {
       std::size_t length = 1 + random() % 7;
@@ -30,7 +30,7 @@
 }
 
 TEST_CASE("an event counts once it is whole") {
-  forward::event_scanner scanner(false);
+  router::event_scanner scanner(false);
   scanner.feed("id: 1\ndata: a\n\nid: 2\ndata: b\n");
   CHECK(scanner.events() == 1);
   CHECK_FALSE(scanner.between_events());
@@ -41,16 +41,16 @@
 
 namespace {
 
-struct setting {
+struct plan_fixture {
   routing::table table;
   std::set<std::string> evacuated;
-  forward::roster engines;
+  router::engine_pool engines;
   std::mt19937_64 random{3};
   runtime::microseconds now = 100 * second;
   nlohmann::json listed = nlohmann::json::array();
-  forward::node_group group{3, 0};
+  router::node_group group{3, 0};
 
-  setting() {
+  plan_fixture() {
     // Of model engines, unless a case says otherwise.
     routing::service service;
     service.name = "s";
@@ -67,34 +67,34 @@
               std::int64_t cold = 0) {
     listed.push_back(
         platform_protocol::listed_engine{id, "s", "10.0.0.1:80", zone, "", capacity, cold, false});
-    engines.list(listed.dump(), now);
+    engines.set_list(listed.dump(), now);
   }
-  std::variant<forward::plan, forward::unplanned> plan(platform_protocol::request_metadata terms = {}) {
-    forward::subject asked{table.routes[0], table.services[0], terms, {}, 1};
-    forward::planning_context context{table, evacuated, "a", 3, group, now, now};
-    return forward::make_plan(asked, engines, context, random);
+  std::variant<router::plan, router::unplanned> plan(platform_protocol::request_metadata metadata = {}) {
+    router::subject asked{table.routes[0], table.services[0], metadata, {}, 1};
+    router::planning_context context{table, evacuated, "a", 3, group, now, now};
+    return router::make_plan(asked, engines, context, random);
   }
-  std::string chosen(platform_protocol::request_metadata terms = {}) {
-    auto made = plan(std::move(terms));
-    auto* found = std::get_if<forward::plan>(&made);
+  std::string chosen(platform_protocol::request_metadata metadata = {}) {
+    auto made = plan(std::move(metadata));
+    auto* found = std::get_if<router::plan>(&made);
     return found ? found->engine_id : "";
   }
 };
 
 platform_protocol::request_metadata prompt() {
-  platform_protocol::request_metadata terms;
-  terms.model = "m";
-  terms.parts = {{"p", 2560}, {"q", 400}};
-  return terms;
+  platform_protocol::request_metadata metadata;
+  metadata.model = "m";
+  metadata.parts = {{"p", 2560}, {"q", 400}};
+  return metadata;
 }
 
 }  // namespace
 
 TEST_CASE("load decides before what is kept, and what is kept among engines alike in load") {
-  setting here;
+  plan_fixture here;
   here.engine("one", "a");
   here.engine("two", "b");
-  here.engines.kept().note(1, forward::part_keys(prompt(), here.table.routes[0]), here.now);
+  here.engines.prefixes().note(1, router::part_keys(prompt(), here.table.routes[0]), here.now);
   CHECK(here.chosen(prompt()) == "two");
   // Work within what the prompt itself would cost is alike; beyond that it decides.
   here.engines.sent(1, 1000, here.now);
@@ -110,27 +110,27 @@
 }
 
 TEST_CASE("the same parts of another model, or behind other parts, are nothing worth") {
-  setting here;
+  plan_fixture here;
   here.engine("one", "b");
   here.engine("two", "b");
-  here.engines.kept().note(1, forward::part_keys(prompt(), here.table.routes[0]), here.now);
+  here.engines.prefixes().note(1, router::part_keys(prompt(), here.table.routes[0]), here.now);
   auto other = prompt();
   other.model = "n";
   auto made = here.plan(other);
-  CHECK(std::get<forward::plan>(made).cached_tokens == 0);
+  CHECK(std::get<router::plan>(made).cached_tokens == 0);
   auto moved = prompt();
   std::swap(moved.parts[0], moved.parts[1]);
   made = here.plan(moved);
-  CHECK(std::get<forward::plan>(made).cached_tokens == 0);
+  CHECK(std::get<router::plan>(made).cached_tokens == 0);
 }
 
 TEST_CASE("engines that leave, stand in an evacuated zone or failed are not taken") {
-  setting here;
+  plan_fixture here;
   here.engine("one", "a");
   here.engine("two", "b");
   here.evacuated = {"a"};
   CHECK(here.chosen() == "two");
-  here.engines.leaving({"two"});
+  here.engines.set_draining({"two"});
   CHECK(here.chosen().empty());
   here.evacuated.clear();
   CHECK(here.chosen() == "one");
@@ -146,7 +146,7 @@
 }
 
 TEST_CASE("a cold engine gets this node's part of its rate in any second") {
-  setting here;
+  plan_fixture here;
   here.engine("one", "a", 64, 3000);
   int sent = 0;
   for (int turn = 0; turn < 100; ++turn) {
@@ -167,7 +167,7 @@
 }
 
 TEST_CASE("an engine at which all of this node's connections are in use gets nothing more") {
-  setting here;
+  plan_fixture here;
   here.engine("one", "a");
   // 60 connections for three nodes and two more: twelve each.
   for (int sent = 0; sent < 12; ++sent) {
@@ -180,25 +180,25 @@
 }
 
 TEST_CASE("a source is named when its lead is over the threshold, and only among engines free to lend") {
-  setting here;
+  plan_fixture here;
   here.table.services[0].model->min_cached_token_delta = 2048;
   here.engine("one", "a");
   here.engine("two", "b");
-  here.engines.kept().note(1, forward::part_keys(prompt(), here.table.routes[0]), here.now);
+  here.engines.prefixes().note(1, router::part_keys(prompt(), here.table.routes[0]), here.now);
   for (int turn = 0; turn < 8; ++turn) here.engines.sent(1, 1000, here.now);
   auto made = here.plan(prompt());
-  auto& plan = std::get<forward::plan>(made);
+  auto& plan = std::get<router::plan>(made);
   CHECK(plan.engine_id == "one");
   CHECK(plan.source == "two");
   CHECK(plan.source_tokens == 2960);
   here.evacuated = {"b"};
   made = here.plan(prompt());
-  CHECK_FALSE(std::get<forward::plan>(made).source);
+  CHECK_FALSE(std::get<router::plan>(made).source);
   here.evacuated.clear();
   here.table.services[0].model->min_cached_token_delta = 2960;
   made = here.plan(prompt());
-  CHECK_FALSE(std::get<forward::plan>(made).source);
+  CHECK_FALSE(std::get<router::plan>(made).source);
   here.table.services[0].model->min_cached_token_delta.reset();
   made = here.plan(prompt());
-  CHECK_FALSE(std::get<forward::plan>(made).source);
+  CHECK_FALSE(std::get<router::plan>(made).source);
 }
--- a/tests/site_test.cc
+++ b/tests/site_test.cc
@@ -87,7 +87,7 @@
   REQUIRE(gone.status == 410);
   REQUIRE(gone.ran == "yes");
   REQUIRE(site.sum("engine", "herontally_engine_calls_total") == 1);
-  REQUIRE(site.sum("hstore", "herontally_receipts_shrunk_total") == 1);
+  REQUIRE(site.sum("storage_node", "herontally_receipts_shrunk_total") == 1);
 }
 
 TEST_CASE("turns that wait are answered at once when the last usable engine goes") {
@@ -132,11 +132,11 @@
   site.world.run_for(50 * millisecond);
   site.world.stall("callers", true);
   site.world.run_for(8 * second);
-  double cut = site.sum("hproxy", "herontally_slow_clients_cut_total");
+  double cut = site.sum("proxy", "herontally_slow_clients_cut_total");
   INFO(cut << " cut");
   REQUIRE(cut > 0);
   // Nothing is left standing for them.
-  REQUIRE(site.sum("hproxy", "herontally_requests") <= 20);
+  REQUIRE(site.sum("proxy", "herontally_requests") <= 20);
   site.world.stall("callers", false);
   REQUIRE(site.turn("exchange:after", "t0").end == "complete");
 }
@@ -146,7 +146,7 @@
   int fresh_doors = 0;
   for (std::uint64_t seed = 1; seed <= 36; ++seed) {
     small_site site({}, seed);
-    for (auto& core : site.place.of_role("hcore")) site.world.kill(core, hsim::disk_loss::none);
+    for (auto& core : site.place.of_role("control_node")) site.world.kill(core, hsim::disk_loss::none);
     site.world.run_for(2 * second);
     for (auto& each : site.place.of_role("engine"))
       if (each.rfind("model", 0) == 0) site.place.roll_engine(each, "v1");
--- a/tests/cold_share_test.cc
+++ b/tests/slow_start_share_test.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <catch2/catch.hpp>
 
-#include "forward/plan.h"
+#include "router/attempt_plan.h"
 
 using namespace herontally;
 using runtime::microseconds;
@@ -18,15 +18,15 @@
 // One engine, cold throughout, and nodes that send it all that they may.
 struct fleet {
   routing::table table;
-  std::vector<forward::roster> rosters;
-  std::vector<forward::node_group> groups;
+  std::vector<router::engine_pool> pools;
+  std::vector<router::node_group> groups;
   std::vector<microseconds> clock_errors;
   std::vector<microseconds> sends;
   std::mt19937_64 random{7};
   std::set<std::string> evacuated;
   microseconds now = 1000 * second;
 
-  fleet(int nodes, double rate) : rosters(nodes), groups(nodes), clock_errors(nodes) {
+  fleet(int nodes, double rate) : pools(nodes), groups(nodes), clock_errors(nodes) {
     routing::service service;
     service.name = "s";
     service.connections = 1000;
@@ -37,21 +37,21 @@
     table.routes = {route};
     auto list = nlohmann::json::array(
         {platform_protocol::listed_engine{"engine", "s", "10.0.0.1:80", "a", "", 64, 3600 * 1000, false}});
-    for (auto& each : rosters) each.list(list.dump(), now);
+    for (auto& each : pools) each.set_list(list.dump(), now);
   }
   void listed(int count) {
     for (int rank = 0; rank < count; ++rank) groups[rank] = {count, rank};
   }
   void send_all_that_may() {
-    for (std::size_t node = 0; node < rosters.size(); ++node) {
+    for (std::size_t node = 0; node < pools.size(); ++node) {
       auto wall = now + clock_errors[node];
-      forward::planning_context context{table, evacuated, "a", 64, groups[node], now, wall};
-      platform_protocol::request_metadata terms;
-      forward::subject asked{table.routes[0], table.services[0], terms, {}, 1};
-      auto made = forward::make_plan(asked, rosters[node], context, random);
-      if (!std::holds_alternative<forward::plan>(made)) continue;
-      rosters[node].sent(0, 0, now);
-      rosters[node].ended(0);
+      router::planning_context context{table, evacuated, "a", 64, groups[node], now, wall};
+      platform_protocol::request_metadata metadata;
+      router::subject asked{table.routes[0], table.services[0], metadata, {}, 1};
+      auto made = router::make_plan(asked, pools[node], context, random);
+      if (!std::holds_alternative<router::plan>(made)) continue;
+      pools[node].sent(0, 0, now);
+      pools[node].ended(0);
       sends.push_back(now);
     }
   }
@@ -134,7 +134,7 @@
     bool had_a_turn = false;
     // A rotation takes 64 nodes x 4 / 21 a second.
     for (microseconds wall = 0; wall < 13 * second; wall += 100 * millisecond)
-      had_a_turn = had_a_turn || forward::cold_share(21, {64, rank}, "engine", wall) > 0;
+      had_a_turn = had_a_turn || router::slow_start_share(21, {64, rank}, "engine", wall) > 0;
     CHECK(had_a_turn);
   }
 }
@@ -145,7 +145,7 @@
     for (microseconds wall = 0; wall < 13 * second; wall += 100 * millisecond) {
       std::int64_t usable = 0;
       for (int engine = 0; engine < 60; ++engine)
-        usable += forward::cold_share(21, {64, rank}, "i-" + std::to_string(engine * 7919), wall);
+        usable += router::slow_start_share(21, {64, rank}, "i-" + std::to_string(engine * 7919), wall);
       fewest = std::min(fewest, usable);
     }
     CHECK(fewest >= 3);
--- a/tests/stored_data_test.cc
+++ b/tests/stored_data_test.cc
@@ -6,9 +6,10 @@
 #include <fstream>
 #include <sstream>
 
-#include "control_setting.h"
-#include "ledger/book.h"
-#include "ledger/program_head.h"
+#include "control_site_fixture.h"
+#include "ledger/call_ledger.h"
+#include "ledger/conversation_ledger.h"
+#include "ledger/program_record.h"
 #include "replica_group_fixture.h"
 
 using namespace herontally;
@@ -74,8 +75,9 @@
   return {{"id", voter.id()}, {"view", consensus::to_text(voter.current_view())}, {"records", records}};
 }
 
-ledger::turn_wish wish_of(const std::string& program, const std::string& turn, const std::string& request,
-                          const std::string& owner, std::int64_t budget) {
+ledger::reservation_request wish_of(const std::string& program, const std::string& turn,
+                                    const std::string& request, const std::string& owner,
+                                    std::int64_t budget) {
   return {"p", program, turn, request, owner, 1, budget, 60, 3600 * second};
 }
 
@@ -100,80 +102,84 @@
   group& site;
   consensus::proposer writer;
   bool owner_gone = false;
-  ledger::book book{writer,
-                    [this](const std::string& owner, std::int64_t) { return owner == "a" && owner_gone; }};
-  ledger::programs programs{writer};
+  ledger::conversation_ledger conversations{
+      writer, [this](const std::string& owner, std::int64_t) { return owner == "a" && owner_gone; }};
+  ledger::call_ledger calls{writer};
+  ledger::program_ledger programs{writer};
 
   auto deadline() { return site.deadline("w", 5 * second); }
-  ledger::open_result open(const ledger::turn_wish& wish) {
-    return site.run("w", book.open_turn(wish, deadline()));
+  ledger::reservation_result open(const ledger::reservation_request& wish) {
+    return site.run("w", conversations.reserve(wish, deadline()));
   }
 
   void write_turns() {
     auto first = wish_of("chat", "t0", "v0", "a", 1000);
     auto granted = open(first);
-    REQUIRE(site.run("w", book.settle_done(first, granted.now.epoch, content_of("t0"), 20, 3600,
-                                           deadline())) == ledger::settle_end::settled);
+    REQUIRE(site.run("w", conversations.commit_turn(first, granted.now.epoch, content_of("t0"), 20, 3600,
+                                                    deadline())) == ledger::settlement_status::settled);
     open(wish_of("chat", "t1", "v1", "a", 1000));
     owner_gone = true;
     auto cut = wish_of("chat", "t2", "v2", "b", 1000);
     granted = open(cut);
-    REQUIRE(site.run("w", book.settle_cut(cut, granted.now.epoch, 7, deadline())) ==
-            ledger::settle_end::settled);
-    REQUIRE(open(wish_of("chat", "t3", "v3", "b", 1000)).end == ledger::open_end::granted);
+    REQUIRE(site.run("w", conversations.abort_turn(cut, granted.now.epoch, 7, deadline())) ==
+            ledger::settlement_status::settled);
+    REQUIRE(open(wish_of("chat", "t3", "v3", "b", 1000)).status == ledger::reservation_status::granted);
     for (int turn = 0; turn < 70; ++turn) {
       auto name = "t" + std::to_string(turn);
-      REQUIRE(open(wish_of("poor", name, "v" + name, "b", 0)).end == ledger::open_end::spent);
+      REQUIRE(open(wish_of("poor", name, "v" + name, "b", 0)).status ==
+              ledger::reservation_status::budget_spent);
     }
-    ledger::head later;
+    ledger::conversation_record later;
     later.generation = 2;
     later.spent = 5;
     auto text = json::parse(ledger::to_text(later));
     text["field_of_a_later_version"] = 7;
-    site.run("w", writer.change(ledger::head_key("p", "later"), put_text(text.dump()), deadline()));
-    site.run("w",
-             writer.change(ledger::head_key("p", "unreadable"), put_text("{\"epoch\":\"x\"}"), deadline()));
+    site.run("w", writer.change(ledger::conversation_key("p", "later"), put_text(text.dump()), deadline()));
+    site.run("w", writer.change(ledger::conversation_key("p", "unreadable"), put_text("{\"epoch\":\"x\"}"),
+                                deadline()));
   }
   ledger::call_record begin_call(const std::string& key) {
-    ledger::call_record started{"started", "v" + key, "digest", "engine-1", "", "", 0, 0, 11, 0};
-    auto begun =
-        site.run("w", book.begin_call(ledger::call_record_key("p", "label", key), started, deadline()));
-    REQUIRE(begun.end == ledger::book::call_end::mine);
+    ledger::call_record started{
+        ledger::call_state::started, "v" + key, "digest", "engine-1", "", "", 0, 0, 11, 0};
+    auto begun = site.run("w", calls.begin(ledger::call_record_key("p", "label", key), started, deadline()));
+    REQUIRE(begun.status == ledger::call_status::begun);
     return begun.record;
   }
   void end_call(const std::string& key, ledger::call_record last) {
-    REQUIRE(site.run("w",
-                     book.end_call(ledger::call_record_key("p", "label", key), std::move(last), deadline())));
+    REQUIRE(
+        site.run("w", calls.finish(ledger::call_record_key("p", "label", key), std::move(last), deadline())));
   }
   void write_calls() {
     begin_call("running");
     auto done = begin_call("done");
-    done.state = "done";
+    done.state = ledger::call_state::done;
     done.status = 200;
     done.content_type = "text/plain";
     done.answer = "printed";
     done.keep_until = 1ll << 60;
     end_call("done", done);
     auto never = begin_call("never");
-    never.state = "not-run";
+    never.state = ledger::call_state::not_run;
     end_call("never", never);
     auto gone = begin_call("gone");
-    gone.state = "gone";
+    gone.state = ledger::call_state::expired;
     end_call("gone", gone);
   }
   void write_programs() {
     REQUIRE(site.run("w", programs.reserve("tree", "x1", 100, 40, deadline())) ==
-            ledger::reserve_end::granted);
-    REQUIRE(site.run("w", programs.settle("tree", "x1", 33, deadline())) == ledger::settle_result::settled);
+            ledger::program_reservation::granted);
+    REQUIRE(site.run("w", programs.settle("tree", "x1", 33, deadline())) ==
+            ledger::program_settlement::settled);
     REQUIRE(site.run("w", programs.reserve("tree", "x 2", 100, 40, deadline())) ==
-            ledger::reserve_end::granted);
+            ledger::program_reservation::granted);
     REQUIRE(site.run("w", programs.reserve("tree", "x3", 100, 40, deadline())) ==
-            ledger::reserve_end::granted);
-    REQUIRE(site.run("w", programs.reserve("tree", "x4", 100, 40, deadline())) == ledger::reserve_end::spent);
+            ledger::program_reservation::granted);
+    REQUIRE(site.run("w", programs.reserve("tree", "x4", 100, 40, deadline())) ==
+            ledger::program_reservation::budget_spent);
     std::string previous;
     for (auto* id : {"k1", "k 2", "k3"}) {
       ledger::turn_record record{id, previous, binary, std::string(90, 'o') + id, 1ll << 60};
-      REQUIRE(site.run("w", programs.keep(record, deadline())));
+      REQUIRE(site.run("w", programs.keep_turn(record, deadline())));
       previous = id;
     }
   }
@@ -260,37 +266,38 @@
   ledger_writer ledger{site, writer};
   // What was refused for a spent budget stays refused, also from a page of its own.
   for (auto* turn : {"t0", "t33", "t69"})
-    CHECK(ledger.open(wish_of("poor", turn, "new", "b", 1000)).end == ledger::open_end::spent);
+    CHECK(ledger.open(wish_of("poor", turn, "new", "b", 1000)).status ==
+          ledger::reservation_status::budget_spent);
   auto ended = ledger.open(wish_of("chat", "t0", "new", "b", 1000));
   // The open grant of t3 is another owner's that still lives.
-  CHECK(ended.end == ledger::open_end::busy);
-  auto head = site.run("w", ledger.book.look("p", "chat", ledger.deadline()));
+  CHECK(ended.status == ledger::reservation_status::busy);
+  auto head = site.run("w", ledger.conversations.read("p", "chat", ledger.deadline()));
   REQUIRE(head);
   CHECK(head->spent == 20 + 60 + 7);
   CHECK(head->open.size() == 1);
   CHECK(head->endings.size() == 3);
-  auto chain = site.run("w", ledger.book.chain(*head, ledger.deadline()));
+  auto chain = site.run("w", ledger.conversations.read_chain(*head, ledger.deadline()));
   REQUIRE(chain);
   REQUIRE(chain->size() == 1);
   CHECK((*chain)[0].output == "output of t0");
-  CHECK_FALSE(site.run("w", ledger.book.look("p", "unreadable", ledger.deadline())));
-  auto later = site.run("w", ledger.book.look("p", "later", ledger.deadline()));
+  CHECK_FALSE(site.run("w", ledger.conversations.read("p", "unreadable", ledger.deadline())));
+  auto later = site.run("w", ledger.conversations.read("p", "later", ledger.deadline()));
   REQUIRE(later);
   CHECK(later->generation == 2);
   CHECK(json::parse(ledger::to_text(*later))["field_of_a_later_version"] == 7);
   for (auto* state : {"running", "done", "never", "gone"}) {
     auto found =
-        site.run("w", ledger.book.look_call(ledger::call_record_key("p", "label", state), ledger.deadline()));
+        site.run("w", ledger.calls.read(ledger::call_record_key("p", "label", state), ledger.deadline()));
     REQUIRE(found.record);
     std::map<std::string, std::string> states{
         {"running", "started"}, {"done", "done"}, {"never", "not-run"}, {"gone", "gone"}};
     CHECK(json::parse(ledger::to_text(*found.record))["state"] == states[state]);
   }
   CHECK(site.run("w", ledger.programs.reserve("tree", "x5", 100, 40, ledger.deadline())) ==
-        ledger::reserve_end::spent);
+        ledger::program_reservation::budget_spent);
   CHECK(site.run("w", ledger.programs.reserve("tree", "x5", 114, 40, ledger.deadline())) ==
-        ledger::reserve_end::granted);
-  auto turns = site.run("w", ledger.programs.chain("k3", ledger.deadline()));
+        ledger::program_reservation::granted);
+  auto turns = site.run("w", ledger.programs.read_chain("k3", ledger.deadline()));
   REQUIRE(turns.turns.size() == 3);
   CHECK(turns.turns[1].id == "k 2");
   CHECK(turns.turns[2].input == binary);
--- a/tests/wire_bytes_test.cc
+++ b/tests/wire_bytes_test.cc
@@ -10,7 +10,9 @@
 #include "consensus/view.h"
 #include "control_node/storage_directory.h"
 #include "engine/listing.h"
-#include "ledger/program_head.h"
+#include "ledger/call_ledger.h"
+#include "ledger/conversation_record.h"
+#include "ledger/program_record.h"
 #include "platform/adapter.h"
 #include "rpc/endpoint.h"
 
@@ -150,8 +152,8 @@
     R"({"servers":[{"id":"i-1","backend":"chat","endpoint":"10.1.0.1:80","zone":"z1","generation":"w2",)"
     R"("capacity":4,"warmup_left_ms":900,"phase":"draining"}],"next_token":"a b/c"})";
 
-ledger::head a_head() {
-  ledger::head content;
+ledger::conversation_record a_conversation() {
+  ledger::conversation_record content;
   content.epoch = 4;
   content.generation = 2;
   content.spent = 90;
@@ -159,9 +161,10 @@
   content.keep_until = 1700000000000000;
   content.digest = "d3";
   content.open = {{"turn-4", "request-4", "proxy-1", 17, 60, 1700000001000000}};
-  content.endings = {{"turn-3", "done", "d3", "request-3", 30}, {"turn-2", "cut", "", "request-2", 5}};
-  content.told_spent = {"turn-9", "turn-8"};
-  content.told_pages = "page-1";
+  content.endings = {{"turn-3", ledger::turn_outcome::done, "d3", "request-3", 30},
+                     {"turn-2", ledger::turn_outcome::aborted, "", "request-2", 5}};
+  content.refused_turns = {"turn-9", "turn-8"};
+  content.refused_archive = "page-1";
   return content;
 }
 
@@ -173,18 +176,18 @@
                                     a_member("store-2", rpc::member_status::dead)})
                        .dump();
   out["storage_list"] = json(control_node::storage_list{4, {"store-1", "store-2"}, {"store-1"}}).dump();
-  out["ledger_head"] = ledger::to_text(a_head());
-  out["told_page"] = ledger::to_text(ledger::told_page{"page-0", {"turn-7", "turn-6"}});
+  out["ledger_head"] = ledger::to_text(a_conversation());
+  out["told_page"] = ledger::to_text(ledger::refused_page{"page-0", {"turn-7", "turn-6"}});
   out["turn_content"] = ledger::to_text(
       ledger::turn_content{"d2", "p", "chat", "turn-3", "prompt", "output", 2, {1, 2}, {3, 4}});
-  out["call_receipt"] = ledger::to_text(
-      ledger::call_record{"done", "request-1", "body", "engine-1", "text/plain", "answer", 2, 200, 11, 12});
+  out["call_receipt"] = ledger::to_text(ledger::call_record{
+      ledger::call_state::done, "request-1", "body", "engine-1", "text/plain", "answer", 2, 200, 11, 12});
   out["program_head"] =
-      ledger::to_text(ledger::program_head{7, 1700000000000000, {{"turn %", 9}}, {"t1", "t2"}});
+      ledger::to_text(ledger::program_record{7, 1700000000000000, {{"turn %", 9}}, {"t1", "t2"}});
   out["turn_record"] =
       hex(ledger::to_text(ledger::turn_record{"id 1", "id 0", "in", bytes_of_all_values, 12}));
   out["turn_key"] = ledger::turn_key("a b%c") + " " + ledger::program_key("a\"b");
-  out["keys"] = ledger::head_key("p", "chat:1") + " " + ledger::call_record_key("p", "label", "key");
+  out["keys"] = ledger::conversation_key("p", "chat:1") + " " + ledger::call_record_key("p", "label", "key");
   configuration::record record;
   record.revision = 6;
   record.version = 5;
@@ -278,11 +281,11 @@
   same("view", consensus::to_text(consensus::view_from_text(texts.at("view"))));
   same("members", json(json::parse(texts.at("members")).get<std::vector<rpc::member>>()).dump());
   same("storage_list", json(json::parse(texts.at("storage_list")).get<control_node::storage_list>()).dump());
-  same("ledger_head", ledger::to_text(ledger::from_text(texts.at("ledger_head"))));
-  same("told_page", ledger::to_text(*ledger::told_page_from(texts.at("told_page"))));
-  same("turn_content", ledger::to_text(*ledger::content_from(texts.at("turn_content"))));
-  same("call_receipt", ledger::to_text(*ledger::call_record_from(texts.at("call_receipt"))));
-  same("program_head", ledger::to_text(*ledger::program_head_from(texts.at("program_head"))));
+  same("ledger_head", ledger::to_text(ledger::conversation_from_text(texts.at("ledger_head"))));
+  same("told_page", ledger::to_text(*ledger::refused_page_from_text(texts.at("told_page"))));
+  same("turn_content", ledger::to_text(*ledger::turn_content_from_text(texts.at("turn_content"))));
+  same("call_receipt", ledger::to_text(*ledger::call_record_from_text(texts.at("call_receipt"))));
+  same("program_head", ledger::to_text(*ledger::program_record_from_text(texts.at("program_head"))));
   same("desired_record",
        configuration::to_text(*configuration::record_from_text(texts.at("desired_record"))));
   auto record = *configuration::record_from_text(texts.at("desired_routing_record"));
--- a/tools/fleetlib.py
+++ b/tools/fleetlib.py
@@ -62,14 +62,14 @@
         state = self.state
         document = {"name": node["name"], "zone": node["zone"], "inner": node["inner"], "http": node["http"],
                     "seeds": state["seeds"], "log_level": state["log_level"]}
-        if node["role"] in ("hcore", "hstore"):
+        if node["role"] in ("control_node", "storage_node"):
             document["data"] = os.path.join(self.folder, "data", node["name"])
-        if node["role"] in ("hcore", "hagent"):
+        if node["role"] in ("control_node", "agent"):
             document["platform"] = state["platform"]
-        if node["role"] == "hcore":
+        if node["role"] == "control_node":
             document["operators"] = [{"token": TOKEN, "partner": "*"},
                                      {"token": state["site"] + "-operator-token", "partner": state["site"]}]
-        if node["role"] == "hproxy":
+        if node["role"] == "proxy":
             document["agent"] = state["nodes"][node["agent"]]["inner"]
         with open(os.path.join(self.folder, "settings", node["name"] + ".json"), "w") as out:
             json.dump(document, out, indent=1)
@@ -141,7 +141,7 @@
 
 
 def hctl(fleet, *arguments):
-    cores = ",".join(node["http"] for node in fleet.state["nodes"].values() if node["role"] == "hcore")
+    cores = ",".join(node["http"] for node in fleet.state["nodes"].values() if node["role"] == "control_node")
     return subprocess.run([os.path.join(fleet.build, "hctl"), "--core", cores, "--token", TOKEN] + list(arguments),
                           stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True)
 
