--- a/src/configuration/snapshot.cc
+++ b/src/configuration/snapshot.cc
@@ -20,8 +20,8 @@
   out.near_tie_tokens = from.value("near_tie_tokens", out.near_tie_tokens);
   out.pull_seconds = from.value("pull_seconds", out.pull_seconds);
   out.warm_seconds = from.value("warm_seconds", out.warm_seconds);
-  out.pulls_per_lender = from.value("pulls_per_lender", out.pulls_per_lender);
-  out.pulls_per_borrower = from.value("pulls_per_borrower", out.pulls_per_borrower);
+  out.max_pulls_per_source = from.value("pulls_per_lender", out.max_pulls_per_source);
+  out.max_pulls_per_destination = from.value("pulls_per_borrower", out.max_pulls_per_destination);
   out.turns_per_engine = from.value("turns_per_engine", out.turns_per_engine);
   out.cold_turns = from.value("cold_turns", out.cold_turns);
   return out;
--- a/src/configuration/snapshot.h
+++ b/src/configuration/snapshot.h
@@ -14,7 +14,7 @@
   std::optional<std::int64_t> min_cached_token_delta;  // nothing: no prefix cache is pulled
   std::int64_t near_tie_tokens = 0;
   double pull_seconds = 2, warm_seconds = 20;
-  std::int64_t pulls_per_lender = 4, pulls_per_borrower = 4, turns_per_engine = 8, cold_turns = 1;
+  std::int64_t max_pulls_per_source = 4, max_pulls_per_destination = 4, turns_per_engine = 8, cold_turns = 1;
 };
 struct application {
   std::int64_t calls_per_engine = 16;
--- a/src/control_node/engine_list_poller.cc
+++ b/src/control_node/engine_list_poller.cc
@@ -106,7 +106,7 @@
   self->pause_ =
       std::max(min_adapter_poll_period, static_cast<microseconds>(listing->pages * 2 / rate * second));
   self->enter_epoch();
-  std::string text = engine::listing_text(listing->engines);
+  std::string text = engine::to_json_text(listing->engines);
   for (auto& engine : listing->engines)
     if (engine.draining) self->report_draining(engine.id, json(engine).dump());
   if (text != shared->configs.engines_text())
--- a/src/engine/completion.cc
+++ b/src/engine/completion.cc
@@ -11,7 +11,7 @@
 namespace {
 constexpr std::size_t longest_line = 1 << 20;
 
-runtime::http_request request_of(const turn_order& order) {
+runtime::http_request request_of(const completion_request& order) {
   json transfer = json::object();
   transfer["cache_identity"] = {{"partner", order.identity.partner},
                                 {"program", order.identity.program},
@@ -46,9 +46,9 @@
   std::string buffer;
   int status = 0;
   bool done = false;
-  summary last;
-  std::vector<turn_event> ready;
-  state(runtime::handle handle, const turn_order& order)
+  completion_summary last;
+  std::vector<completion_event> ready;
+  state(runtime::handle handle, const completion_request& order)
       : runtime(handle), stream(handle, order.address, request_of(order)) {}
 
   void take_data(const std::string& text) {
@@ -61,21 +61,21 @@
     if (!event.is_object()) {
       // An engine that speaks no JSON can't be trusted for the rest either.
       done = true;
-      ready.push_back(failure{true, status, "malformed event"});
+      ready.push_back(completion_failure{true, status, "malformed event"});
       return;
     }
     try {
       take_event(event);
     } catch (const json::exception&) {
       done = true;
-      ready.push_back(failure{true, status, "malformed event"});
+      ready.push_back(completion_failure{true, status, "malformed event"});
     }
   }
 
   void take_event(const json& event) {
     if (event.contains("choices") && !event["choices"].empty()) {
       auto& choice = event["choices"][0];
-      piece next;
+      completion_chunk next;
       next.text = choice.value("text", "");
       next.tokens = choice.value("token_ids", std::vector<std::int64_t>());
       if (choice.contains("finish_reason") && choice["finish_reason"].is_string())
@@ -99,7 +99,7 @@
   }
 
   // A turn whose finish was told is whole, even if the words behind it were lost.
-  void fail(failure why) {
+  void fail(completion_failure why) {
     if (last.finish.empty())
       ready.push_back(std::move(why));
     else
@@ -118,23 +118,23 @@
     buffer.erase(0, begin);
     if (buffer.size() > longest_line && !done) {
       done = true;
-      ready.push_back(failure{true, status, "line too long"});
+      ready.push_back(completion_failure{true, status, "line too long"});
     }
   }
 };
 
-completion::completion(runtime::handle runtime, turn_order order)
+completion::completion(runtime::handle runtime, completion_request order)
     : state_(std::make_unique<state>(std::move(runtime), order)) {}
 completion::~completion() = default;
 
-task<turn_event> completion::next(microseconds timeout) {
+task<completion_event> completion::next(microseconds timeout) {
   auto* self = state_.get();
   microseconds deadline = self->runtime.now() + timeout;
   while (self->ready.empty()) {
     auto left = deadline - self->runtime.now();
-    if (left <= 0) co_return silence{};
+    if (left <= 0) co_return completion_timeout{};
     auto event = co_await self->stream.next(left);
-    if (!event) co_return silence{};
+    if (!event) co_return completion_timeout{};
     if (auto* head = std::get_if<runtime::http_head>(&*event)) {
       self->status = head->status;
     } else if (auto* bytes = std::get_if<runtime::http_piece>(&*event)) {
--- a/src/engine/completion.h
+++ b/src/engine/completion.h
@@ -5,7 +5,7 @@
 
 namespace herontally::engine {
 
-struct turn_order {
+struct completion_request {
   std::string address, model, request_id;
   std::vector<std::int64_t> prompt;
   std::int64_t most_tokens = 0;
@@ -15,32 +15,33 @@
   std::int64_t pull_milliseconds = 0;
 };
 
-struct piece {
+struct completion_chunk {
   std::string text;
   std::vector<std::int64_t> tokens;
 };
 // What the engine says of the turn after its last piece.
-struct summary {
+struct completion_summary {
   std::string finish;
   std::int64_t prompt_tokens = 0, cached_tokens = 0, output_tokens = 0;
   std::int64_t blocks_asked = 0, blocks_found = 0, bytes_moved = 0;
   bool pull_failed = false;
 };
 // `ran` is false when the engine certainly took no work on.
-struct failure {
+struct completion_failure {
   bool ran = true;
   int status = 0;
   std::string why;
 };
-struct silence {};  // nothing came within the time allowed
-using turn_event = std::variant<piece, summary, failure, silence>;
+struct completion_timeout {};  // nothing came within the time allowed
+using completion_event =
+    std::variant<completion_chunk, completion_summary, completion_failure, completion_timeout>;
 
 class completion {
  public:
-  completion(runtime::handle runtime, turn_order order);
+  completion(runtime::handle runtime, completion_request order);
   ~completion();
   // After a summary or a failure there is nothing more to come.
-  runtime::task<turn_event> next(runtime::microseconds timeout);
+  runtime::task<completion_event> next(runtime::microseconds timeout);
 
  private:
   struct state;
--- a/src/engine/listing.cc
+++ b/src/engine/listing.cc
@@ -6,7 +6,7 @@
 constexpr int most_pages = 200;
 
 runtime::task<std::optional<listing>> fetch_listing(runtime::handle runtime, std::string address,
-                                                    std::shared_ptr<const platform_protocol::adapter> dialect,
+                                                    std::shared_ptr<const platform_protocol::adapter> adapter,
                                                     runtime::microseconds timeout) {
   listing found;
   std::string page;
@@ -15,13 +15,13 @@
     auto left = deadline - runtime.now();
     if (left <= 0) co_return std::nullopt;
     runtime::http_request request;
-    request.path = dialect->list_path(page);
+    request.path = adapter->list_path(page);
     // One caller asks again and again: a new connection for each call would cost more than the call.
     request.pooled = true;
     auto result = co_await runtime::http_fetch(runtime, address, request, left);
     auto* response = std::get_if<runtime::http_response>(&result);
     if (!response || response->status != 200) co_return std::nullopt;
-    auto read = dialect->read_list(response->body);
+    auto read = adapter->read_list(response->body);
     if (!read) co_return std::nullopt;
     ++found.pages;
     for (auto& each : read->engines) found.engines.push_back(std::move(each));
@@ -31,7 +31,7 @@
   co_return std::nullopt;
 }
 
-std::string listing_text(const std::vector<platform_protocol::listed_engine>& engines) {
+std::string to_json_text(const std::vector<platform_protocol::listed_engine>& engines) {
   return nlohmann::json(engines).dump();
 }
 
--- a/src/engine/watch.cc
+++ b/src/engine/watch.cc
@@ -150,7 +150,7 @@
     std::string address = self->rows[number].address;
     if (self->rows[number].listed) {
       // What we sent on before this question is in its answer.
-      std::int64_t before = self->rows[number].unseen;
+      std::int64_t before = self->rows[number].sent_since_report;
       runtime::http_request request;
       request.path = "/metrics";
       auto result = co_await runtime::http_fetch(self->runtime, address, request, report_timeout);
@@ -158,7 +158,7 @@
       auto* response = std::get_if<runtime::http_response>(&result);
       if (row.address == address) {
         if (response && response->status == 200) {
-          row.unseen = std::max<std::int64_t>(0, row.unseen - before);
+          row.sent_since_report = std::max<std::int64_t>(0, row.sent_since_report - before);
           row.report_asked = begun;
           self->take_report(row, response->body);
         } else {
--- a/src/engine/watch.h
+++ b/src/engine/watch.h
@@ -15,7 +15,7 @@
   runtime::microseconds first_ready = 0, reported_at = 0;
   runtime::microseconds report_asked = -1;  // when the newest report that came was asked for
   std::int64_t queue = 0, running = 0;
-  std::int64_t unseen = 0, ours = 0, our_pulls = 0, our_borrows = 0;
+  std::int64_t sent_since_report = 0, ours = 0, our_pulls_from = 0, our_pulls_into = 0;
   std::uint64_t report_number = 0;
   bool usable() const { return listed && !leaving && answers && !draining; }
 };
--- a/src/hctl/commands.cc
+++ b/src/hctl/commands.cc
@@ -145,11 +145,11 @@
 }
 
 task<int> ledger(runtime::handle runtime, setting given, std::string partner, std::string program) {
-  if (given.doors.empty()) {
+  if (given.proxies.empty()) {
     fprintf(stderr, "hctl: --door is missing\n");
     co_return usage;
   }
-  given.cores = given.doors;
+  given.cores = given.proxies;
   auto result =
       co_await ask(runtime, given, "GET", "/v1/partners/" + partner + "/programs/" + program, "", "");
   co_return finish(result);
--- a/src/hctl/commands.h
+++ b/src/hctl/commands.h
@@ -11,7 +11,7 @@
 enum exit_code { done = 0, refused = 1, usage = 2, unreachable = 3, stale = 4, faulty = 5, unknown = 6 };
 
 struct setting {
-  std::vector<std::string> cores, doors;
+  std::vector<std::string> cores, proxies;
   std::string token;
   double timeout_seconds = 10;
 };
--- a/src/hctl/main.cc
+++ b/src/hctl/main.cc
@@ -29,7 +29,7 @@
   if (rest.empty()) settings::end_with("hctl", {"COMMAND", "is missing; see --help"});
   hctl::setting given;
   given.cores = split(absl::GetFlag(FLAGS_core), "--core");
-  given.doors = split(absl::GetFlag(FLAGS_door), "--door");
+  given.proxies = split(absl::GetFlag(FLAGS_door), "--door");
   given.token = absl::GetFlag(FLAGS_token);
   given.timeout_seconds = absl::GetFlag(FLAGS_timeout);
   if (given.timeout_seconds <= 0 || given.timeout_seconds > 600)
--- a/src/hsim/faults_aimed.cc
+++ b/src/hsim/faults_aimed.cc
@@ -184,7 +184,7 @@
   };
 }
 
-// A door freezes right after one of its next messages, whatever it waits for then, while something changes
+// A proxy freezes right after one of its next messages, whatever it waits for then, while something changes
 // that it should have heard of.
 void faults::state::freeze_at_await() {
   auto name = pick(target.of_role("proxy"));
--- a/src/hsim/faults_site.cc
+++ b/src/hsim/faults_site.cc
@@ -82,7 +82,7 @@
   later(span(2, 8), [self = shared_from_this(), name] { self->target.misbehave(name, "well"); });
 }
 
-// One edge machine hears nothing any more, while the state is changed and clients still reach its door.
+// One edge machine hears nothing any more, while the state is changed and clients still reach its proxy.
 void faults::state::make_stale() {
   auto agent = pick(target.of_role("agent"));
   tell("news cut off from " + agent);
@@ -103,7 +103,7 @@
   });
 }
 
-// A door sleeps long enough for its programs to go on elsewhere, and then wakes.
+// A proxy sleeps long enough for its programs to go on elsewhere, and then wakes.
 void faults::state::doze() {
   auto name = pick(target.of_role("proxy"));
   if (!w().find(name).up || w().find(name).frozen) return;
--- a/src/hsim/faults_state.h
+++ b/src/hsim/faults_state.h
@@ -91,7 +91,7 @@
     auto others = ours();
     for (auto& engine : target.of_role("engine")) others.push_back(engine);
     others.push_back("callers");
-    // An agent and its door stand on one machine; nothing cuts them from each other.
+    // An agent and its proxy stand on one machine; nothing cuts them from each other.
     std::string beside = name.rfind("door", 0) == 0    ? "agent" + name.substr(4)
                          : name.rfind("agent", 0) == 0 ? "door" + name.substr(5)
                                                        : "";
--- a/src/hsim/measure.cc
+++ b/src/hsim/measure.cc
@@ -55,9 +55,9 @@
   fork_result result;
   if (!place.begin()) return result;
   auto branch = [](site* own, fork_result* out, int number, int* done) -> rt::task<> {
-    auto doors = own->doors();
-    auto door = doors[static_cast<std::size_t>(number) % doors.size()];
-    auto seen = co_await herontally::simcaller::take_turn(own->callers(), door, "swanreach",
+    auto proxies = own->proxies();
+    auto proxy = proxies[static_cast<std::size_t>(number) % proxies.size()];
+    auto seen = co_await herontally::simcaller::take_turn(own->callers(), proxy, "swanreach",
                                                           "exchange:b" + std::to_string(number), "t0",
                                                           "branch " + std::to_string(number), 16, 40);
     if (seen.end == "complete") {
@@ -129,7 +129,7 @@
   printf("| (sharing on, for comparison) | %d | %.0f | %.0f |\n", on.complete - 1, on.named, on.moved);
 }
 
-// From a change's sending to its acknowledgement, and until the last door has it in force.
+// From a change's sending to its acknowledgement, and until the last proxy has it in force.
 void measure_in_force() {
   printf(
       "| doors | changes | acknowledged p50 ms | most ms | last door after the acknowledgement, most ms "
@@ -158,8 +158,8 @@
       auto newest = place.metric("core-1", "herontally_desired_revision");
       where.run_until(
           [&] {
-            for (auto& door : place.of_role("proxy"))
-              if (place.metric(door, "herontally_desired_revision") < newest) return false;
+            for (auto& proxy : place.of_role("proxy"))
+              if (place.metric(proxy, "herontally_desired_revision") < newest) return false;
             return true;
           },
           5 * rt::second);
--- a/src/hsim/measure_repair.cc
+++ b/src/hsim/measure_repair.cc
@@ -24,7 +24,7 @@
     choice.partners = {swanreach(0, 0)};
     return choice;
   }
-  // So many contents of some hundred bytes, written as a door writes them.
+  // So many contents of some hundred bytes, written as a proxy writes them.
   bool begin(int records) {
     if (!place.begin()) return false;
     namespace ht = herontally;
--- a/src/hsim/measure_site.cc
+++ b/src/hsim/measure_site.cc
@@ -49,7 +49,7 @@
   }
   void load(double rate, double seconds, std::int64_t crowd = 0) {
     herontally::simcaller::options traffic;
-    traffic.doors = place.doors();
+    traffic.proxies = place.proxies();
     traffic.requests_per_second = rate;
     traffic.seconds = seconds;
     traffic.crowd = crowd;
@@ -103,15 +103,15 @@
       if (!run.begin()) continue;
       run.load(rate, 15);
       run.finish();
-      std::vector<double> engines, doors;
+      std::vector<double> engines, proxies;
       for (auto& name : run.place.of_role("engine"))
         if (name.rfind("model", 0) == 0)
           engines.push_back(run.place.metric(name, "herontally_engine_turns_total"));
       for (auto& name : run.place.of_role("proxy"))
-        doors.push_back(run.place.metric(name, "herontally_placements_total"));
+        proxies.push_back(run.place.metric(name, "herontally_placements_total"));
       printf("| %d | %.0f | %lld | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f | %lld |\n", edges, rate,
              static_cast<long long>(run.complete), at(engines, 0), at(engines, 0.5), at(engines, 1),
-             at(doors, 0), at(doors, 0.5), at(doors, 1), static_cast<long long>(run.refusals));
+             at(proxies, 0), at(proxies, 0.5), at(proxies, 1), static_cast<long long>(run.refusals));
     }
 }
 
--- a/src/hsim/measure_times.cc
+++ b/src/hsim/measure_times.cc
@@ -27,7 +27,7 @@
 // Traffic that goes on until the world ends.
 void keep_busy(site& place, oracle& judge, double rate) {
   herontally::simcaller::options traffic;
-  traffic.doors = place.doors();
+  traffic.proxies = place.proxies();
   traffic.requests_per_second = rate;
   traffic.seconds = 60;
   herontally::simcaller::watcher observer;
@@ -42,8 +42,8 @@
 bool serves(site& place, const std::string& tail) {
   bool done = false, complete = false;
   place.callers().spawn([](site* own, std::string name, bool* out, bool* ended) -> rt::task<> {
-    auto doors = own->doors();
-    auto seen = co_await herontally::simcaller::take_turn(own->callers(), doors[0], "swanreach", name, "t0",
+    auto proxies = own->proxies();
+    auto seen = co_await herontally::simcaller::take_turn(own->callers(), proxies[0], "swanreach", name, "t0",
                                                           "hello", 8, 2);
     *out = seen.end == "complete";
     *ended = true;
--- a/src/hsim/oracle.cc
+++ b/src/hsim/oracle.cc
@@ -107,7 +107,7 @@
   auto budget = self.budgets.find(seen.program.substr(0, seen.program.find(':')));
   if (budget != self.budgets.end() && program.streamed > budget->second.first + budget->second.second)
     self.fail("budget", seen.program + " got " + std::to_string(program.streamed) + " tokens");
-  if (seen.status == 402) turn.told_spent = true;
+  if (seen.status == 402) turn.refused = true;
   if (seen.status != 0 && seen.status != 200) ++self.refused;
   if (seen.ran == "no" && !seen.request_id.empty()) {
     self.never_run.insert(seen.request_id);
@@ -151,7 +151,7 @@
     kept_program next{name, "and what did we say before", 0};
     bool begun = false, spent = false, gap = false;
     for (auto& [number, turn] : program.turns) {
-      spent = spent || turn.told_spent;
+      spent = spent || turn.refused;
       begun = begun || turn.complete;
       // A turn that its client gave up and went on behind isn't gone back to.
       if (!turn.complete && !gap) next = {name, turn.prompt, number};
--- a/src/hsim/oracle.h
+++ b/src/hsim/oracle.h
@@ -17,12 +17,12 @@
 
 struct engine_facts {
   std::string name, zone, weights, kind;
-  std::int64_t block_tokens = 16, cold_at_once = 1, most_at_once = 8, most_pulls = 4;
+  std::int64_t block_tokens = 16, slow_start_concurrent = 1, max_concurrent = 8, most_pulls = 4;
   double warm_seconds = 5;
   microseconds born = 0, learned_leaving = -1;
 };
 
-// What one version of the desired state says that can be seen from outside.
+// What one version of the configuration says that can be seen from outside.
 struct offered_state {
   std::int64_t marker = 0;
   std::string prefix;     // shared by all programs; its words name the marker
--- a/src/hsim/oracle_engines.cc
+++ b/src/hsim/oracle_engines.cc
@@ -37,7 +37,7 @@
                            " ms after its zone's evacuation was asked for");
 }
 
-// What is under way for senders that live, over all doors together. One that died or sleeps can't tell the
+// What is under way for senders that live, over all proxies together. One that died or sleeps can't tell the
 // engine that it gave its work up, and what it had counted is counted by nobody.
 void oracle::state::check_cold(const engine_facts& engine, const run& what, const std::string& of,
                                std::int64_t cold, std::int64_t most) {
@@ -63,7 +63,8 @@
   if (what.what.rfind("arrive-", 0) == 0) {
     self.check_arrival(facts, what);
     if (what.what == "arrive-turn" || what.what == "arrive-call")
-      self.check_cold(facts, what, what.what.substr(7) + "s", facts.cold_at_once, facts.most_at_once);
+      self.check_cold(facts, what, what.what.substr(7) + "s", facts.slow_start_concurrent,
+                      facts.max_concurrent);
     if (what.what == "arrive-pull") self.check_cold(facts, what, "lends", 1, facts.most_pulls);
     auto marker = what.what == "arrive-call" ? what.path.rfind('/') : std::string::npos;
     if (marker != std::string::npos)
--- a/src/hsim/oracle_state.h
+++ b/src/hsim/oracle_state.h
@@ -14,7 +14,7 @@
 struct asked_turn {
   std::string prompt, complete_text;
   tokens prompt_ids, output_ids;
-  bool complete = false, told_spent = false;
+  bool complete = false, refused = false;
   microseconds first_asked = 0, last_asked = 0;
   std::int64_t keep_seconds = -1;  // the least of the states under which it was placed
 };
--- a/src/hsim/probes.cc
+++ b/src/hsim/probes.cc
@@ -11,7 +11,7 @@
   return place.options().partners[0];
 }
 
-static rt::task<bool> ask_turn(site* place, oracle* judge, std::string door, std::string partner,
+static rt::task<bool> ask_turn(site* place, oracle* judge, std::string proxy, std::string partner,
                                std::string program, std::string turn, std::string prompt) {
   seen_turn asked;
   asked.program = program;
@@ -19,13 +19,14 @@
   asked.prompt = prompt;
   judge->turn_begins(asked);
   auto runtime = place->callers();
-  auto seen = co_await herontally::simcaller::take_turn(runtime, door, partner, program, turn, prompt, 64, 6);
+  auto seen =
+      co_await herontally::simcaller::take_turn(runtime, proxy, partner, program, turn, prompt, 64, 6);
   judge->turn_seen(seen);
   co_return seen.end == "complete";
 }
 
-static rt::task<> probe_door(site* place, oracle* judge, std::string door, std::string tail,
-                             microseconds deadline, int* ended) {
+static rt::task<> probe_proxy(site* place, oracle* judge, std::string proxy, std::string tail,
+                              microseconds deadline, int* ended) {
   auto runtime = place->callers();
   auto& where = place->where();
   auto partner = served(*place);
@@ -33,10 +34,10 @@
   bool turn_done = false, call_done = false;
   while (where.now() < deadline && !(turn_done && call_done)) {
     if (!turn_done)
-      turn_done = co_await ask_turn(place, judge, door, partner.name, name, "t0", "are you there");
+      turn_done = co_await ask_turn(place, judge, proxy, partner.name, name, "t0", "are you there");
     if (!call_done) {
-      auto call = co_await herontally::simcaller::make_call(runtime, door, partner.name, partner.effectful[0],
-                                                            name, "{}", 6);
+      auto call = co_await herontally::simcaller::make_call(runtime, proxy, partner.name,
+                                                            partner.effectful[0], name, "{}", 6);
       judge->call_seen(call);
       call_done = call.status == 200;
     }
@@ -44,32 +45,32 @@
   }
   // A last answer that came too late is too late.
   if (!turn_done || !call_done || where.now() > deadline)
-    judge->fail("service", "door " + door + " does not serve within 12 s (" + tail + "): turn " +
+    judge->fail("service", "door " + proxy + " does not serve within 12 s (" + tail + "): turn " +
                                (turn_done ? "yes" : "no") + ", call " + (call_done ? "yes" : "no"));
   ++*ended;
 }
 
-void probe_doors(site& place, oracle& judge, microseconds since, const std::string& tail) {
-  auto doors = place.doors();
+void probe_proxies(site& place, oracle& judge, microseconds since, const std::string& tail) {
+  auto proxies = place.proxies();
   int ended = 0, number = 0;
-  for (auto& door : doors)
-    place.callers().spawn(probe_door(&place, &judge, door, "probe-" + tail + "-" + std::to_string(number++),
-                                     since + 12 * rt::second, &ended));
-  place.where().run_until([&] { return ended == static_cast<int>(doors.size()); }, 40 * rt::second);
+  for (auto& proxy : proxies)
+    place.callers().spawn(probe_proxy(&place, &judge, proxy, "probe-" + tail + "-" + std::to_string(number++),
+                                      since + 12 * rt::second, &ended));
+  place.where().run_until([&] { return ended == static_cast<int>(proxies.size()); }, 40 * rt::second);
 }
 
-static rt::task<> probe_one(site* place, oracle* judge, kept_program kept, std::size_t first_door,
+static rt::task<> probe_one(site* place, oracle* judge, kept_program kept, std::size_t first_proxy,
                             int* ended) {
   auto runtime = place->callers();
-  auto doors = place->doors();
+  auto proxies = place->proxies();
   std::string partner;
   for (auto& each : place->options().partners)
     for (auto& kind : {each.quick, each.slow})
       if (kept.program.rfind(kind + ":", 0) == 0) partner = each.name;
   bool complete = false;
   auto deadline = runtime.now() + 15 * rt::second;
-  for (auto turn = first_door; !complete && runtime.now() < deadline; ++turn) {
-    complete = co_await ask_turn(place, judge, doors[turn % doors.size()], partner, kept.program,
+  for (auto turn = first_proxy; !complete && runtime.now() < deadline; ++turn) {
+    complete = co_await ask_turn(place, judge, proxies[turn % proxies.size()], partner, kept.program,
                                  "t" + std::to_string(kept.turn), kept.prompt);
     if (!complete) co_await runtime.sleep(300 * rt::millisecond);
   }
@@ -80,9 +81,9 @@
 void probe_kept(site& place, oracle& judge, std::size_t most) {
   auto programs = judge.kept_programs(most);
   int ended = 0;
-  std::size_t door = 0;
+  std::size_t proxy = 0;
   for (auto& each : programs) {
-    place.callers().spawn(probe_one(&place, &judge, each, door++, &ended));
+    place.callers().spawn(probe_one(&place, &judge, each, proxy++, &ended));
     place.where().run_for(100 * rt::millisecond);
   }
   place.where().run_until([&] { return ended == static_cast<int>(programs.size()); }, 60 * rt::second);
--- a/src/hsim/probes.h
+++ b/src/hsim/probes.h
@@ -1,11 +1,11 @@
-// What is asked of a site when the storm is over: does every door serve, is every conversation there?
+// What is asked of a site when the storm is over: does every proxy serve, is every conversation there?
 #pragma once
 #include "hsim/site.h"
 
 namespace hsim {
 
-// Every door, all at once, must serve a turn and a call within 12 s of this moment.
-void probe_doors(site& place, oracle& judge, microseconds since, const std::string& tail);
+// Every proxy, all at once, must serve a turn and a call within 12 s of this moment.
+void probe_proxies(site& place, oracle& judge, microseconds since, const std::string& tail);
 // Conversations must go on from where they were.
 void probe_kept(site& place, oracle& judge, std::size_t most);
 // Every process, engine and the platform goes at once, some by power, at times one with its disk; all begin
--- a/src/hsim/scenario.cc
+++ b/src/hsim/scenario.cc
@@ -55,11 +55,11 @@
     if (partner.models == 0) continue;
     ++load.wanted;
     herontally::simcaller::options traffic;
-    traffic.doors = place.doors();
+    traffic.proxies = place.proxies();
     traffic.shape = partner.name;
     traffic.requests_per_second = choice.requests_per_second;
     traffic.seconds = choice.storm_seconds;
-    // Some clients turn to another door while the first may still be at work.
+    // Some clients turn to another proxy while the first may still be at work.
     traffic.timeout_seconds = timeout;
     traffic.crowd_at_second = static_cast<double>(5 + where.draw(20));
     traffic.crowd = static_cast<std::int64_t>(where.draw(4) ? where.draw(60) : 200 + where.draw(300));
@@ -126,7 +126,7 @@
   where.run_for(static_cast<microseconds>((choice.storm_seconds + 8) * rt::second));
   trouble.end_all();
   auto healed = where.now();
-  probe_doors(place, judge, healed, "peace");
+  probe_proxies(place, judge, healed, "peace");
   report.counts["back_seconds"] = static_cast<double>(where.now() - healed) / rt::second;
   where.run_until([&] { return load.finished == load.wanted; }, 400 * rt::second);
   probe_kept(place, judge, 24);
@@ -134,7 +134,7 @@
     // One machine with a disk at a time: whatever the storm took is made good first.
     where.run_for(12 * rt::second);
     auto lost = lose_everything(place, report.story, trouble.gone());
-    probe_doors(place, judge, lost, "loss");
+    probe_proxies(place, judge, lost, "loss");
     report.counts["back_from_loss_seconds"] = static_cast<double>(where.now() - lost) / rt::second;
     probe_kept(place, judge, 24);
   }
--- a/src/hsim/site.cc
+++ b/src/hsim/site.cc
@@ -128,8 +128,8 @@
     engine_facts facts{name, spot.zone, spot.engine.weights, spot.engine.kind};
     facts.block_tokens = spot.engine.block_tokens;
     bool model = spot.engine.kind == "model";
-    facts.cold_at_once = model ? self.choice.cold_turns : 1;
-    facts.most_at_once = model ? self.choice.turns_per_engine : 16;
+    facts.slow_start_concurrent = model ? self.choice.cold_turns : 1;
+    facts.max_concurrent = model ? self.choice.turns_per_engine : 16;
     facts.warm_seconds = model ? self.choice.warm_seconds : 1;
     judge->engine_begins(facts);
     self.where.runtime_of(name).spawn(
@@ -174,7 +174,7 @@
   auto found = state_->places.find(name);
   return found == state_->places.end() ? "" : found->second.role;
 }
-std::vector<std::string> site::doors() const {
+std::vector<std::string> site::proxies() const {
   std::vector<std::string> addresses;
   for (auto& name : of_role("proxy")) addresses.push_back(state_->places.at(name).http);
   return addresses;
@@ -185,7 +185,7 @@
   return found == state_->places.end() ? 0 : found->second.logger.value(name);
 }
 
-bool site::doors_ready() {
+bool site::proxies_ready() {
   for (auto& name : of_role("proxy"))
     if (!state_->where.find(name).up || metric(name, "herontally_fresh") < 1) return false;
   return true;
@@ -219,7 +219,7 @@
     *done = true;
   }(this, &self.next_marker, &applied));
   if (!self.where.run_until([&] { return applied; }, 30 * rt::second)) return false;
-  return self.where.run_until([&] { return doors_ready(); }, 20 * rt::second);
+  return self.where.run_until([&] { return proxies_ready(); }, 20 * rt::second);
 }
 
 }  // namespace hsim
--- a/src/hsim/site.h
+++ b/src/hsim/site.h
@@ -16,7 +16,7 @@
 
 struct site_options {
   int cores = 3, stores = 3, edges = 3;
-  // Both sections are always in the desired state; a partner without engines has no traffic here.
+  // Both sections are always in the configuration; a partner without engines has no traffic here.
   std::vector<partner_shape> partners{swanreach(4, 2), zastavica(0, 0)};
   bool vary = false;             // states differ in zone weights and thresholds, too
   std::int64_t keep_growth = 0;  // states differ in keeping times by this many seconds
@@ -40,7 +40,7 @@
  public:
   site(world& where, oracle& judge, site_options choice);
   ~site();
-  // Boots all, begins the groups, applies the first state and waits until every door is ready.
+  // Boots all, begins the groups, applies the first state and waits until every proxy is ready.
   bool begin();
   void boot(const std::string& name);
   void boot_all();
@@ -61,8 +61,8 @@
   void misbehave(const std::string& engine, const std::string& how);
   std::vector<std::string> of_role(const std::string& role) const;
   std::string role_of(const std::string& name) const;
-  std::vector<std::string> doors() const;  // HTTP addresses
-  bool doors_ready();
+  std::vector<std::string> proxies() const;  // HTTP addresses
+  bool proxies_ready();
   // Asks every node again and again how ready it is, and every core for the state, as the platform and the
   // operators do.
   herontally::runtime::task<> watch_forever();
--- a/src/htrace/main.cc
+++ b/src/htrace/main.cc
@@ -1,4 +1,4 @@
-// Follows one change of the desired state through all nodes.
+// Follows one change of the configuration through all nodes.
 #include <absl/flags/flag.h>
 #include <stdio.h>
 
@@ -62,10 +62,10 @@
   if (acknowledged) out["acknowledged_ms"] = after(acknowledged);
   for (auto& node : nodes) {
     std::string way;
-    bool door = node.who.role == rpc::node_role::proxy;
-    auto learned = wall_of(node, revision, door ? "in force" : "learned", &way);
+    bool proxy = node.who.role == rpc::node_role::proxy;
+    auto learned = wall_of(node, revision, proxy ? "in force" : "learned", &way);
     auto forced = wall_of(node, revision, "in force", nullptr);
-    bool concerned = node.who.role == rpc::node_role::core || node.who.role == rpc::node_role::agent || door;
+    bool concerned = node.who.role == rpc::node_role::core || node.who.role == rpc::node_role::agent || proxy;
     if (!concerned) continue;
     json row{{"node", node.who.name},
              {"role", node.who.role},
@@ -115,7 +115,7 @@
     fprintf(stderr, "htrace: --seeds names no process that answers\n");
     co_return 3;
   }
-  std::vector<std::string> doors;
+  std::vector<std::string> proxies;
   for (auto& node : nodes) {
     rpc::trace_request request{0};
     std::string address = node.who.role == rpc::node_role::proxy ? node.who.http : node.who.inner;
--- a/src/interning/symbol_table.h
+++ b/src/interning/symbol_table.h
@@ -1,4 +1,4 @@
-// Names become dense indices at the door; inside, tables are vectors over these indices.
+// Names become dense indices where a request enters; inside, tables are vectors over these indices.
 #pragma once
 #include <cstdint>
 #include <memory>
--- a/src/prefix/prefix.cc
+++ b/src/prefix/prefix.cc
@@ -128,12 +128,12 @@
 void index::forget(interning::symbol engine) { state_->of(engine) = engine_shelf{}; }
 
 void index::correct(interning::symbol engine, const std::vector<std::string>& hashes, std::size_t found,
-                    std::size_t foretold) {
+                    std::size_t predicted) {
   auto& shelf_of = state_->of(engine);
   for (std::size_t position = found; position < hashes.size(); ++position)
     shelf_of.blocks.erase(hashes[position]);
-  if (foretold == 0) return;
-  double right = static_cast<double>(found < foretold ? found : foretold) / static_cast<double>(foretold);
+  if (predicted == 0) return;
+  double right = static_cast<double>(found < predicted ? found : predicted) / static_cast<double>(predicted);
   shelf_of.belief = 0.7 * shelf_of.belief + 0.3 * right;
 }
 
--- a/src/prefix/prefix.h
+++ b/src/prefix/prefix.h
@@ -44,7 +44,7 @@
   // It was said to hold `foretold` blocks and had `found`: beyond those it is believed no more, and
   // what is believed of it counts for less until it proves right again.
   void correct(interning::symbol engine, const std::vector<std::string>& hashes, std::size_t found,
-               std::size_t foretold);
+               std::size_t predicted);
   double belief(interning::symbol engine) const;
   std::size_t size(interning::symbol engine) const;
 
--- a/src/proxy/attempt_plan.cc
+++ b/src/proxy/attempt_plan.cc
@@ -22,10 +22,10 @@
     each.evacuated = context.config.evacuated_zones.contains(row.zone);
     each.reported = row.queue + row.running;
     each.queue = row.queue;
-    each.unseen = row.unseen;
+    each.sent_since_report = row.sent_since_report;
     each.ours = row.ours;
-    each.our_pulls = row.our_pulls;
-    each.our_borrows = row.our_borrows;
+    each.our_pulls_from = row.our_pulls_from;
+    each.our_pulls_into = row.our_pulls_into;
     each.age_seconds = static_cast<double>(context.now - row.first_ready) / second;
     engines.push_back(std::move(each));
   }
@@ -45,7 +45,7 @@
 }
 
 // What both kinds of plans share: the caps are divided among the proxies.
-static void share_caps(placement::question& asked, const planning_context& context) {
+static void share_caps(placement::placement_request& asked, const planning_context& context) {
   asked.proxies = context.ranks.proxies;
   asked.rank = context.ranks.rank;
   asked.proxies_before = context.ranks.previous_proxies;
@@ -53,16 +53,17 @@
   asked.avoid = context.avoid;
 }
 
-static placement::question question_of(const turn_subject& subject, const planning_context& context) {
-  placement::question asked;
+static placement::placement_request question_of(const turn_subject& subject,
+                                                const planning_context& context) {
+  placement::placement_request asked;
   asked.weights = subject.model.weights;
   asked.block_tokens = subject.model.block_tokens;
   asked.prompt_tokens = subject.prompt.size();
   asked.near_tie_tokens = subject.model.near_tie_tokens;
-  asked.most_at_once = subject.model.turns_per_engine;
-  asked.cold_at_once = subject.model.cold_turns;
-  asked.pulls_per_lender = subject.model.pulls_per_lender;
-  asked.pulls_per_borrower = subject.model.pulls_per_borrower;
+  asked.max_concurrent = subject.model.turns_per_engine;
+  asked.slow_start_concurrent = subject.model.cold_turns;
+  asked.max_pulls_per_source = subject.model.max_pulls_per_source;
+  asked.max_pulls_per_destination = subject.model.max_pulls_per_destination;
   asked.warm_seconds = subject.model.warm_seconds;
   share_caps(asked, context);
   asked.table = context.config.partners.at(subject.partner).table_of(subject.settings.table);
@@ -124,8 +125,8 @@
 std::optional<call_plan> plan_call(const call_subject& subject, const planning_context& context,
                                    const std::vector<engine::engine_row>& rows, std::mt19937_64& random) {
   auto engines = engines_of(rows, "application", subject.partner, subject.route.application, context);
-  placement::question asked;
-  asked.most_at_once = subject.application.calls_per_engine;
+  placement::placement_request asked;
+  asked.max_concurrent = subject.application.calls_per_engine;
   asked.warm_seconds = subject.application.warm_seconds;
   share_caps(asked, context);
   asked.table = context.config.partners.at(subject.partner).table_of(subject.route.table);
--- a/src/proxy/attempt_plan.h
+++ b/src/proxy/attempt_plan.h
@@ -17,7 +17,7 @@
   std::optional<interning::symbol> source;
   std::size_t expected_blocks = 0, destination_blocks = 0;
   std::vector<std::string> hashes;
-  engine::turn_order order;
+  engine::completion_request order;
   runtime::microseconds deadline = 0, lease_end = 0;
 };
 
--- a/src/proxy/call_handler.cc
+++ b/src/proxy/call_handler.cc
@@ -117,7 +117,7 @@
 task<call_outcome> call_handler::send(call_request call, call_plan plan) {
   auto shared = context_;
   auto engine = plan.destination;
-  ++shared->engines.row(engine).unseen;
+  ++shared->engines.row(engine).sent_since_report;
   ++shared->engines.row(engine).ours;
   // The watch is a handle: the copy stays good after the node is gone.
   in_flight_guard occupied([engines = shared->engines, engine]() mutable { --engines.row(engine).ours; });
--- a/src/proxy/turn_attempt.cc
+++ b/src/proxy/turn_attempt.cc
@@ -20,19 +20,19 @@
   auto destination = plan_.destination;
   auto source = plan_.source;
   auto& row = context_->engines.row(destination);
-  ++row.unseen;
+  ++row.sent_since_report;
   ++row.ours;
   if (source) {
-    ++row.our_borrows;
-    ++context_->engines.row(*source).our_pulls;
+    ++row.our_pulls_into;
+    ++context_->engines.row(*source).our_pulls_from;
   }
   return in_flight_guard([weak = std::weak_ptr<context>(context_), destination, source] {
     auto shared = weak.lock();
     if (!shared) return;
     --shared->engines.row(destination).ours;
     if (source) {
-      --shared->engines.row(destination).our_borrows;
-      --shared->engines.row(*source).our_pulls;
+      --shared->engines.row(destination).our_pulls_into;
+      --shared->engines.row(*source).our_pulls_from;
     }
     shared->capacity.notify_all();
   });
@@ -52,7 +52,7 @@
   return how;
 }
 
-std::optional<attempt_outcome> turn_attempt::take_piece(engine::piece& next) {
+std::optional<attempt_outcome> turn_attempt::take_piece(engine::completion_chunk& next) {
   auto& progress = *progress_;
   auto& shared = *context_;
   heard_ = shared.runtime.now();
@@ -71,7 +71,7 @@
   return attempt_outcome::too_slow;
 }
 
-void turn_attempt::correct_prefixes(const engine::summary& last) {
+void turn_attempt::correct_prefixes(const engine::completion_summary& last) {
   auto& prefixes = context_->prefixes;
   if (plan_.source) {
     auto found = static_cast<std::size_t>(std::max<std::int64_t>(0, last.blocks_found));
@@ -87,7 +87,7 @@
   if (expected > 0) prefixes.correct(plan_.destination, {}, std::min(cached, expected), expected);
 }
 
-void turn_attempt::take_summary(const engine::summary& last) {
+void turn_attempt::take_summary(const engine::completion_summary& last) {
   auto& shared = *context_;
   auto now = shared.runtime.now();
   constexpr double weight_of_new = 0.1;
@@ -109,7 +109,7 @@
   correct_prefixes(last);
 }
 
-void turn_attempt::note_failure(const engine::failure& failed) {
+void turn_attempt::note_failure(const engine::completion_failure& failed) {
   auto& shared = *context_;
   shared.logger.warn(
       "attempt failed",
@@ -142,13 +142,13 @@
   while (true) {
     auto event = co_await stream.next(poll_period);
     if (auto ended = self->ended_from_outside()) co_return self->give_up(*ended);
-    if (auto* next = std::get_if<engine::piece>(&event)) {
+    if (auto* next = std::get_if<engine::completion_chunk>(&event)) {
       if (auto ended = self->take_piece(*next)) co_return self->give_up(*ended);
-    } else if (auto* last = std::get_if<engine::summary>(&event)) {
+    } else if (auto* last = std::get_if<engine::completion_summary>(&event)) {
       self->take_summary(*last);
       self->occupied_ = in_flight_guard();
       co_return attempt_outcome::complete;
-    } else if (auto* failed = std::get_if<engine::failure>(&event)) {
+    } else if (auto* failed = std::get_if<engine::completion_failure>(&event)) {
       self->note_failure(*failed);
       auto outcome = broken("complete") ? attempt_outcome::complete : attempt_outcome::failed;
       if (failed->status == 0) co_return self->give_up(outcome);
--- a/src/proxy/turn_attempt.h
+++ b/src/proxy/turn_attempt.h
@@ -28,11 +28,11 @@
   in_flight_guard occupy_engines();
   // What ends the attempt at this moment, whatever the engine sends.
   std::optional<attempt_outcome> ended_from_outside() const;
-  std::optional<attempt_outcome> take_piece(engine::piece& next);
-  void take_summary(const engine::summary& last);
+  std::optional<attempt_outcome> take_piece(engine::completion_chunk& next);
+  void take_summary(const engine::completion_summary& last);
   // Lets the engines' reports correct what was believed of them.
-  void correct_prefixes(const engine::summary& last);
-  void note_failure(const engine::failure& failed);
+  void correct_prefixes(const engine::completion_summary& last);
+  void note_failure(const engine::completion_failure& failed);
   bool is_silent() const;
   attempt_outcome give_up(attempt_outcome how);
 
--- a/src/proxy/turn_stream.h
+++ b/src/proxy/turn_stream.h
@@ -22,7 +22,7 @@
 
 enum class stream_end { complete, cut };
 
-void send_piece(const turn_request& turn, turn_progress& progress, const engine::piece& next);
+void send_piece(const turn_request& turn, turn_progress& progress, const engine::completion_chunk& next);
 // Ends the stream. A turn of which nothing was sent is rejected instead, unless it is complete.
 void send_end(const context& shared, const turn_request& turn, turn_progress& progress, stream_end how,
               json fields);
--- a/src/router/attempt_plan.cc
+++ b/src/router/attempt_plan.cc
@@ -52,12 +52,12 @@
   for (auto& each : all)
     each.cached_blocks = static_cast<std::size_t>(
         tokens_before(asked.metadata, engines.prefixes().leading(each.number, made.parts, context.now)));
-  placement::question question;
+  placement::placement_request question;
   // Lengths are known by part, so that a block is one token here.
   question.block_tokens = 1;
   question.prompt_tokens = static_cast<std::size_t>(prompt);
-  // Work is compared in steps (see the roster); that an engine has places left is looked at here.
-  question.most_at_once = std::numeric_limits<std::int64_t>::max();
+  // Work is compared in steps (see engine_pool); that an engine has places left is looked at here.
+  question.max_concurrent = std::numeric_limits<std::int64_t>::max();
   // All nodes together stay under the engine's cap on connections, also while some more are being added.
   auto connections =
       std::max<std::int64_t>(2, asked.service.connections / (std::max<std::int64_t>(1, context.nodes) + 2));
--- a/src/router/engine_pool.cc
+++ b/src/router/engine_pool.cc
@@ -93,7 +93,7 @@
     if (!service.model) {
       bool near = row.listed.zone == zone, warm = row.last_answer >= 0 && now - row.last_answer < 3 * second;
       each.reported = row.ours;
-      each.nearness = (near ? 2 : 0) + (warm ? 1 : 0);
+      each.tie_break_score = (near ? 2 : 0) + (warm ? 1 : 0);
       continue;
     }
     // Reading the prompt anew elsewhere costs as much as waiting behind that many tokens: engines that lie
@@ -101,7 +101,7 @@
     double band = static_cast<double>(std::max<std::int64_t>(512, tokens));
     double load = work(row, now);
     each.reported = static_cast<std::int64_t>(std::max(0.0, load - std::max(0.0, least)) / band);
-    each.nearness = 1e9 - load;
+    each.tie_break_score = 1e9 - load;
   }
   return engines;
 }
--- a/src/router/engine_pool.h
+++ b/src/router/engine_pool.h
@@ -31,22 +31,22 @@
   int failures = 0;                       // in a row
   std::deque<microseconds> recent_sends;  // within the last second
   microseconds last_answer = -1;          // an idle connection is likely while this is recent
-  // A seat for a trial is taken after a time out of use: one request finds out for the others.
+  // One trial request is allowed after an ejection: it finds out for the others.
   bool on_probation = false;
 };
 
 class engine_pool {
  public:
   engine_pool();
-  // The list as news brings it: JSON of dialect::listed_engine.
+  // The engine list as the agent delivers it: JSON of platform_protocol::listed_engine.
   void set_list(const std::string& text, microseconds now);
   void set_draining(const std::vector<std::string>& ids);
   bool known() const { return known_; }
   engine_row& row(interning::symbol number) { return rows_[number]; }
   const std::vector<engine_row>& rows() const { return rows_; }
   prefix::index& prefixes() { return prefixes_; }
-  // What placement looks at, for one service. `group` and `wall`: see cold_share. `tokens`: of the prompt at
-  // hand; engines whose work differs by no more than that are alike in load.
+  // What placement looks at, for one service. `group` and `wall`: see slow_start_share.h. `tokens`: of the
+  // prompt at hand; engines whose work differs by no more than that are alike in load.
   std::vector<placement::engine> candidates(const routing::service& service,
                                             const std::set<std::string>& evacuated, const std::string& zone,
                                             const node_group& group, microseconds wall, std::int64_t tokens,
--- a/src/runtime/real_answer.cc
+++ b/src/runtime/real_answer.cc
@@ -79,7 +79,7 @@
     // The other side has lost count of its answers: this connection serves no later request.
     if (answer.passed_over) connection->reusable = false;
   }
-  answer.head_due = !answer.passed_over;
+  answer.head_is_due = !answer.passed_over;
   // To HEAD comes no body, whatever length is told.
   return request.method == "HEAD" ? 1 : 0;
 }
--- a/src/runtime/real_channels.cc
+++ b/src/runtime/real_channels.cc
@@ -14,8 +14,8 @@
 namespace herontally::runtime {
 
 namespace {
-constexpr std::size_t frame_head = 13;
-enum : unsigned char { kind_question = 0, kind_receipt = 1 };
+constexpr std::size_t frame_header_bytes = 13;
+enum : unsigned char { frame_kind_request = 0, frame_kind_reply = 1 };
 
 }  // namespace
 
@@ -56,7 +56,7 @@
 
 // A frame goes straight to the kernel when nothing waits before it; an error is left for the loop to find.
 static void write_frame(channel* self, std::uint64_t number, unsigned char kind, const std::string& payload) {
-  unsigned char head[frame_head];
+  unsigned char head[frame_header_bytes];
   std::uint32_t length = htonl(static_cast<std::uint32_t>(payload.size()));
   memcpy(head, &length, 4);
   memcpy(head + 4, &number, 8);
@@ -89,19 +89,19 @@
 
 // False closes the channel: the other side doesn't speak our framing.
 static bool take_frame(channel* self, evbuffer* input) {
-  unsigned char head[frame_head];
+  unsigned char head[frame_header_bytes];
   evbuffer_copyout(input, head, sizeof head);
   std::uint32_t length;
   memcpy(&length, head, 4);
   length = ntohl(length);
-  if (length > largest_frame || head[12] > kind_receipt) return false;
-  if (evbuffer_get_length(input) < frame_head + length) return true;
+  if (length > largest_frame || head[12] > frame_kind_reply) return false;
+  if (evbuffer_get_length(input) < frame_header_bytes + length) return true;
   std::uint64_t exchange;
   memcpy(&exchange, head + 4, 8);
-  evbuffer_drain(input, frame_head);
+  evbuffer_drain(input, frame_header_bytes);
   std::string payload(length, '\0');
   evbuffer_remove(input, payload.data(), length);
-  if (head[12] == kind_receipt) {
+  if (head[12] == frame_kind_reply) {
     auto found = self->calls.find(exchange);
     if (found == self->calls.end()) return true;
     auto call = std::move(found->second);
@@ -120,7 +120,7 @@
     if (found == part->channels.end()) return;
     // An empty answer is the handler's way to say that the message was garbage.
     if (answer.empty()) return close_channel(part.get(), number, channel_error::closed);
-    write_frame(found->second.get(), exchange, kind_receipt, answer);
+    write_frame(found->second.get(), exchange, frame_kind_reply, answer);
   });
   return true;
 }
@@ -131,7 +131,7 @@
   std::uint64_t number = self->number;
   ++self->reads;
   evbuffer* input = bufferevent_get_input(stream);
-  while (part->channels.contains(number) && evbuffer_get_length(input) >= frame_head) {
+  while (part->channels.contains(number) && evbuffer_get_length(input) >= frame_header_bytes) {
     std::size_t before = evbuffer_get_length(input);
     if (!take_frame(self, input)) return close_channel(part, number, channel_error::closed);
     if (!part->channels.contains(number) || evbuffer_get_length(input) == before) return;
@@ -240,7 +240,7 @@
       waiting.done(channel_error::timed_out);
     });
     peer->calls[exchange] = waiting_call{std::move(done), timer, peer->reads};
-    write_frame(peer, exchange, kind_question, payload);
+    write_frame(peer, exchange, frame_kind_request, payload);
   };
 }
 
--- a/src/runtime/real_pool_connection.cc
+++ b/src/runtime/real_pool_connection.cc
@@ -16,7 +16,7 @@
   auto number = connection->running;
   auto& answer = connection->answer;
   std::optional<http_head> head;
-  if (std::exchange(answer.head_due, false)) head = std::move(answer.head);
+  if (std::exchange(answer.head_is_due, false)) head = std::move(answer.head);
   std::string body = std::exchange(answer.body, {});
   bool whole = answer.whole;
   if (whole) {
--- a/src/simcaller/load.cc
+++ b/src/simcaller/load.cc
@@ -38,7 +38,7 @@
   shape kind;
   std::shared_ptr<tally> counts = std::make_shared<tally>();
 
-  std::string door() const { return choice.doors[runtime.draw(choice.doors.size())]; }
+  std::string proxy() const { return choice.proxies[runtime.draw(choice.proxies.size())]; }
 
   void note(const seen_turn& seen) const {
     ++counts->turns;
@@ -73,7 +73,7 @@
 };
 
 task<> one_call(session here, std::string route, std::string key, std::string body) {
-  auto seen = co_await make_call(here.runtime, here.door(), here.kind.partner, route, key, body,
+  auto seen = co_await make_call(here.runtime, here.proxy(), here.kind.partner, route, key, body,
                                  here.choice.timeout_seconds);
   here.note(seen);
 }
@@ -100,7 +100,7 @@
         asked.prompt = prompt;
         here.observer.begin(asked);
       }
-      auto seen = co_await take_turn(here.runtime, here.door(), here.kind.partner, name, turn, prompt, 64,
+      auto seen = co_await take_turn(here.runtime, here.proxy(), here.kind.partner, name, turn, prompt, 64,
                                      here.choice.timeout_seconds);
       here.note(seen);
       complete = seen.end == "complete";
--- a/src/simcaller/load.h
+++ b/src/simcaller/load.h
@@ -8,8 +8,8 @@
 namespace herontally::simcaller {
 
 struct options {
-  std::vector<std::string> doors;   // HTTP addresses of proxies
-  std::string shape = "swanreach";  // or "zastavica"
+  std::vector<std::string> proxies;  // HTTP addresses of proxies
+  std::string shape = "swanreach";   // or "zastavica"
   double requests_per_second = 20, seconds = 10;
   double crowd_at_second = -1;  // all at once
   std::int64_t crowd = 0;
@@ -18,7 +18,7 @@
 
 // What one client saw of one request, for those who check.
 struct seen_turn {
-  std::string partner, program, turn, prompt, text, end, door;
+  std::string partner, program, turn, prompt, text, end, proxy;
   std::int64_t status = 0, pieces = 0, tokens = 0;
   std::string ran, odd, request_id;  // odd: what was wrong with the stream itself
   double first_piece_seconds = -1, seconds = 0;
@@ -36,10 +36,10 @@
   std::function<void(const seen_call&)> call;
 };
 
-runtime::task<seen_turn> take_turn(runtime::handle runtime, std::string door, std::string partner,
+runtime::task<seen_turn> take_turn(runtime::handle runtime, std::string proxy, std::string partner,
                                    std::string program, std::string turn, std::string prompt,
                                    std::int64_t most_tokens, double timeout);
-runtime::task<seen_call> make_call(runtime::handle runtime, std::string door, std::string partner,
+runtime::task<seen_call> make_call(runtime::handle runtime, std::string proxy, std::string partner,
                                    std::string route, std::string key, std::string body, double timeout);
 // Runs the whole load and returns its report.
 runtime::task<nlohmann::json> run(runtime::handle runtime, options choice, watcher observer);
--- a/src/simcaller/main.cc
+++ b/src/simcaller/main.cc
@@ -27,12 +27,12 @@
   std::string text = absl::GetFlag(FLAGS_doors);
   for (std::size_t begin = 0; begin < text.size();) {
     auto end = std::min(text.find(',', begin), text.size());
-    choice.doors.push_back(text.substr(begin, end - begin));
-    if (!settings::is_address(choice.doors.back()))
+    choice.proxies.push_back(text.substr(begin, end - begin));
+    if (!settings::is_address(choice.proxies.back()))
       settings::end_with("simcaller", {"--doors", "must list ip:port"});
     begin = end + 1;
   }
-  if (choice.doors.empty()) settings::end_with("simcaller", {"--doors", "is missing"});
+  if (choice.proxies.empty()) settings::end_with("simcaller", {"--doors", "is missing"});
   choice.shape = absl::GetFlag(FLAGS_shape);
   if (choice.shape != "swanreach" && choice.shape != "zastavica")
     settings::end_with("simcaller", {"--shape", "must be swanreach or zastavica"});
--- a/src/simcaller/requests.cc
+++ b/src/simcaller/requests.cc
@@ -41,14 +41,15 @@
 
 }  // namespace
 
-task<seen_turn> take_turn(runtime::handle runtime, std::string door, std::string partner, std::string program,
-                          std::string turn, std::string prompt, std::int64_t most_tokens, double timeout) {
+task<seen_turn> take_turn(runtime::handle runtime, std::string proxy, std::string partner,
+                          std::string program, std::string turn, std::string prompt, std::int64_t most_tokens,
+                          double timeout) {
   seen_turn seen;
   seen.partner = partner;
   seen.program = program;
   seen.turn = turn;
   seen.prompt = prompt;
-  seen.door = door;
+  seen.proxy = proxy;
   auto begun = runtime.now();
   auto deadline = begun + static_cast<microseconds>(timeout * second);
   runtime::http_request request;
@@ -56,7 +57,7 @@
   request.path = "/v1/partners/" + partner + "/programs/" + program + "/turns";
   request.body = json{{"turn", turn}, {"prompt", prompt}, {"max_tokens", most_tokens}}.dump();
   request.headers["Content-Type"] = "application/json";
-  runtime::http_stream stream(runtime, door, request);
+  runtime::http_stream stream(runtime, proxy, request);
   line_reader reader{seen};
   std::string buffer;
   while (true) {
@@ -93,7 +94,7 @@
   co_return seen;
 }
 
-task<seen_call> make_call(runtime::handle runtime, std::string door, std::string partner, std::string route,
+task<seen_call> make_call(runtime::handle runtime, std::string proxy, std::string partner, std::string route,
                           std::string key, std::string body, double timeout) {
   seen_call seen;
   seen.partner = partner;
@@ -107,7 +108,7 @@
   request.headers["Content-Type"] = "application/json";
   if (!key.empty()) request.headers["Idempotency-Key"] = key;
   auto result =
-      co_await runtime::http_fetch(runtime, door, request, static_cast<microseconds>(timeout * second));
+      co_await runtime::http_fetch(runtime, proxy, request, static_cast<microseconds>(timeout * second));
   if (auto* response = std::get_if<runtime::http_response>(&result)) {
     seen.status = response->status;
     seen.response = header(response->headers, "receipt");
--- a/src/storage_node/node.h
+++ b/src/storage_node/node.h
@@ -1,4 +1,4 @@
-// A storage machine's process: voter of the program ledger, keeper of chains and receipts.
+// A storage machine's process: voter of the program ledger, owner of conversation chains and call records.
 #pragma once
 #include "logging/logging.h"
 #include "runtime/runtime.h"
--- a/tests/model/history.cc
+++ b/tests/model/history.cc
@@ -93,8 +93,8 @@
   std::vector<operation> kept;
   for (auto& each : history) {
     if (each.kind == operation_kind::without_effect) continue;
-    bool unseen = each.kind == operation_kind::uncertain_set && !seen.count(each.value);
-    if (!unseen) kept.push_back(each);
+    bool sent_since_report = each.kind == operation_kind::uncertain_set && !seen.count(each.value);
+    if (!sent_since_report) kept.push_back(each);
   }
   return kept;
 }
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -23,12 +23,12 @@
   return each;
 }
 
-placement::question ask(std::optional<std::int64_t> delta) {
-  placement::question asked;
+placement::placement_request ask(std::optional<std::int64_t> delta) {
+  placement::placement_request asked;
   asked.weights = "v1";
   asked.prompt_tokens = 1000;
   asked.min_cached_token_delta = delta;
-  asked.most_at_once = 100;
+  asked.max_concurrent = 100;
   return asked;
 }
 
@@ -89,30 +89,30 @@
 
 TEST_CASE("a cold engine's cap holds over all doors together, for turns and for pulls") {
   std::mt19937_64 random(7);
-  for (std::int64_t doors : {1, 3, 12, 60}) {
+  for (std::int64_t proxies : {1, 3, 12, 60}) {
     for (double age : {0.0, 4.0, 9.0}) {
       std::int64_t turns = 0, pulls = 0;
-      for (std::int64_t door = 0; door < doors; ++door) {
+      for (std::int64_t proxy = 0; proxy < proxies; ++proxy) {
         auto asked = ask(10);
-        asked.most_at_once = 8;
+        asked.max_concurrent = 8;
         asked.warm_seconds = 10;
-        asked.proxies = doors;
-        asked.rank = door;
+        asked.proxies = proxies;
+        asked.rank = proxy;
         auto cold = ready(0, 0, 60);
         cold.age_seconds = age;
-        // This door alone, with nothing seen of the others: the worst case.
+        // This proxy alone, with nothing seen of the others: the worst case.
         while (placement::place(asked, {cold}, random)) {
           ++turns;
           ++cold.ours;
-          ++cold.unseen;
+          ++cold.sent_since_report;
         }
         std::vector<placement::engine> engines{cold, ready(1, 0)};
         while (placement::place(asked, engines, random)->source) {
           ++pulls;
-          ++engines[0].our_pulls;
+          ++engines[0].our_pulls_from;
         }
       }
-      INFO(doors << " doors, age " << age);
+      INFO(proxies << " doors, age " << age);
       REQUIRE(turns == placement::ramped(1, 8, age, 10));
       REQUIRE(pulls == placement::ramped(1, 4, age, 10));
     }
@@ -120,7 +120,7 @@
 }
 
 TEST_CASE("doors that learned of the engines in different orders hand out no more than the cap") {
-  // The same engine has another index at each door; its cap is shared by its name.
+  // The same engine has another index at each proxy; its cap is shared by its name.
   for (int number = 0; number < 50; ++number) {
     std::int64_t taken = 0;
     for (int rank = 0; rank < 3; ++rank) {
@@ -128,7 +128,7 @@
       asked.proxies = 3;
       asked.rank = rank;
       asked.warm_seconds = 10;
-      asked.most_at_once = 8;
+      asked.max_concurrent = 8;
       std::mt19937_64 random(1);
       auto engine = ready(static_cast<std::uint32_t>(7 * rank + number % 5), 0);
       engine.name = "engine-" + std::to_string(number);
--- a/tests/site_test.cc
+++ b/tests/site_test.cc
@@ -19,20 +19,20 @@
     world.run_for(4 * second);
   }
   void spawn_turn(const std::string& program, const std::string& turn,
-                  std::shared_ptr<std::optional<simcaller::seen_turn>> out, std::size_t door = 0,
+                  std::shared_ptr<std::optional<simcaller::seen_turn>> out, std::size_t proxy = 0,
                   double patience = 20) {
-    auto take = [](hsim::site* own, std::string program, std::string turn, std::size_t door, double patience,
+    auto take = [](hsim::site* own, std::string program, std::string turn, std::size_t proxy, double patience,
                    std::shared_ptr<std::optional<simcaller::seen_turn>> out) -> runtime::task<> {
-      auto doors = own->doors();
-      auto seen = co_await simcaller::take_turn(own->callers(), doors[door % doors.size()], "swanreach",
+      auto proxies = own->proxies();
+      auto seen = co_await simcaller::take_turn(own->callers(), proxies[proxy % proxies.size()], "swanreach",
                                                 program, turn, "say " + turn, 64, patience);
       out->emplace(seen);
     };
-    place.callers().spawn(take(&place, program, turn, door, patience, out));
+    place.callers().spawn(take(&place, program, turn, proxy, patience, out));
   }
-  simcaller::seen_turn turn(const std::string& program, const std::string& turn, std::size_t door = 0) {
+  simcaller::seen_turn turn(const std::string& program, const std::string& turn, std::size_t proxy = 0) {
     auto out = std::make_shared<std::optional<simcaller::seen_turn>>();
-    spawn_turn(program, turn, out, door);
+    spawn_turn(program, turn, out, proxy);
     REQUIRE(world.run_until([&] { return out->has_value(); }, 30 * second));
     return **out;
   }
@@ -40,7 +40,7 @@
     auto out = std::make_shared<std::optional<simcaller::seen_call>>();
     auto make = [](hsim::site* own, std::string key,
                    std::shared_ptr<std::optional<simcaller::seen_call>> out) -> runtime::task<> {
-      auto seen = co_await simcaller::make_call(own->callers(), own->doors()[0], "swanreach", "labels", key,
+      auto seen = co_await simcaller::make_call(own->callers(), own->proxies()[0], "swanreach", "labels", key,
                                                 "{}", 10);
       out->emplace(seen);
     };
@@ -110,7 +110,7 @@
       if (!each->has_value()) return false;
     return true;
   };
-  // The doors' next report of the engine fails; nobody is held until the end of the wait.
+  // The proxies' next report of the engine fails; nobody is held until the end of the wait.
   REQUIRE(site.world.run_until(answered, 1500 * millisecond));
   for (auto& each : seen) {
     bool told = (*each)->end == "cut" || ((*each)->status >= 429 && (*each)->come_back_seconds >= 1);
@@ -166,6 +166,6 @@
     fresh_doors += fresh ? 1 : 0;
     CHECK(site.judge.violations().empty());
   }
-  // Some doors hear of too few peers within this time to place anything.
+  // Some proxies hear of too few peers within this time to place anything.
   REQUIRE(fresh_doors >= 12);
 }
--- a/tests/wire_bytes_test.cc
+++ b/tests/wire_bytes_test.cc
@@ -213,7 +213,7 @@
   auto adapter = platform::make_adapter();
   auto page = adapter->read_list(listed_page);
   REQUIRE(page);
-  out["engine_listing"] = engine::listing_text(page->engines);
+  out["engine_listing"] = engine::to_json_text(page->engines);
   out["list_path"] = adapter->list_path("") + " " + adapter->list_path(page->next) + " " +
                      adapter->report_path + " " + adapter->ready_path + " " + adapter->echo_header;
   using platform_protocol::command_status;
