--- a/src/configuration/cron.cc
+++ b/src/configuration/cron.cc
@@ -94,7 +94,7 @@
   gmtime_r(&seconds, &parts);
   if (!when.minutes[static_cast<std::size_t>(parts.tm_min)] ||
       !when.hours[static_cast<std::size_t>(parts.tm_hour)] ||
-      !when.months[static_cast<std::size_t>(parts.tm_mon + 1)])
+      !when.months[static_cast<std::size_t>(parts.tm_mon) + 1])
     return false;
   bool day = when.days[static_cast<std::size_t>(parts.tm_mday)];
   bool weekday = when.weekdays[static_cast<std::size_t>(parts.tm_wday)];
--- a/src/configuration/validation.cc
+++ b/src/configuration/validation.cc
@@ -56,7 +56,7 @@
   std::map<std::string, std::string> deepest;
   while (results.popError(error)) {
     auto pointer = pointer_of(error.context);
-    if (!deepest.count(pointer)) deepest[pointer] = error.description;
+    if (!deepest.contains(pointer)) deepest[pointer] = error.description;
   }
   for (auto& [pointer, what] : deepest) {
     // An outer place is only blamed for what lies inside it when nothing more exact is known.
--- a/src/consensus/proposer.cc
+++ b/src/consensus/proposer.cc
@@ -103,7 +103,7 @@
     runtime.spawn(request_vote(self->endpoint, voter.address, request, voter.id, timeout, replies));
   }
   std::set<std::string> agreeing;
-  auto agrees = [&agreeing](const std::string& id) { return agreeing.count(id) > 0; };
+  auto agrees = [&agreeing](const std::string& id) { return agreeing.contains(id); };
   for (std::size_t received = 0; received < voters.size() && !result.quorum; ++received) {
     auto next = co_await replies.pop(timeout + reply_grace);
     if (!next) break;
--- a/src/consensus/proposer_contents.cc
+++ b/src/consensus/proposer_contents.cc
@@ -56,7 +56,7 @@
       runtime.spawn(put_at(self->endpoint, voter.address, std::move(request), self->window, replies));
     }
     std::set<std::string> stored;
-    auto has = [&stored](const std::string& id) { return stored.count(id) > 0; };
+    auto has = [&stored](const std::string& id) { return stored.contains(id); };
     for (std::size_t received = 0; received < receivers.size(); ++received) {
       auto reply = co_await replies.pop(std::max<microseconds>(0, deadline - runtime.now()));
       if (!reply) break;
--- a/src/control_node/config_reader.cc
+++ b/src/control_node/config_reader.cc
@@ -11,8 +11,8 @@
 
 void config_reader::report() const {
   auto& logger = context_->logger;
-  logger.gauge("herontally_confirmed_age_milliseconds",
-               static_cast<double>((context_->runtime.now() - confirmed_) / millisecond));
+  auto age_milliseconds = (context_->runtime.now() - confirmed_) / millisecond;
+  logger.gauge("herontally_confirmed_age_milliseconds", static_cast<double>(age_milliseconds));
   logger.gauge("herontally_view", static_cast<double>(voter_.current_view().number));
   logger.gauge("herontally_voter_bytes", static_cast<double>(voter_.records().live_bytes()));
 }
--- a/src/control_node/operator_api.cc
+++ b/src/control_node/operator_api.cc
@@ -244,7 +244,7 @@
   bool holds = false, moving = agreed->joint();
   for (auto& voter : agreed->all_voters()) holds = holds || voter.node == node;
   bool retiring =
-      configuration::shared_names(config->document, configuration::retiring_storage).count(node) > 0;
+      configuration::shared_names(config->document, configuration::retiring_storage).contains(node);
   // All copies of every key stand elsewhere once a view without the node counts, and no other before it.
   bool may_go = retiring && !holds && !moving;
   json body{{"node", node},     {"retiring", retiring},   {"holds_copies", holds},
--- a/src/control_node/operator_rules.cc
+++ b/src/control_node/operator_rules.cc
@@ -29,7 +29,7 @@
   names engine_zones = engine_zones_of(site.engines), zones = engine_zones;
   for (auto& member : site.members) zones.insert(member.zone);
   for (auto& zone : after)
-    if (!before.count(zone) && !zones.count(zone))
+    if (!before.contains(zone) && !zones.contains(zone))
       violations.push_back({zones_pointer, "nothing stands in zone " + zone});
   auto& in_use = engine_zones.empty() ? zones : engine_zones;
   bool none_left = std::includes(after.begin(), after.end(), in_use.begin(), in_use.end());
@@ -43,10 +43,10 @@
   for (auto& member : site.members)
     if (member.role == rpc::node_role::store) storage[member.name] = member.is_live();
   std::size_t left = 0;
-  for (auto& [name, live] : storage) left += live && !after.count(name) ? 1 : 0;
+  for (auto& [name, live] : storage) left += live && !after.contains(name) ? 1 : 0;
   for (auto& node : after) {
-    if (before.count(node)) continue;
-    if (!storage.count(node))
+    if (before.contains(node)) continue;
+    if (!storage.contains(node))
       violations.push_back({storage_pointer, "no storage machine is named " + node});
     else if (left < site.storage_voters)
       violations.push_back({storage_pointer, "too few storage machines would be left for " +
--- a/src/control_node/platform_operator_api.cc
+++ b/src/control_node/platform_operator_api.cc
@@ -202,14 +202,14 @@
     }
     auto retiring = configuration::shared_names(current.document, configuration::retiring_storage);
     // Under way, and asked for again: that is what was asked for.
-    if (retiring.count(command.node)) return std::nullopt;
-    if (!storage.known.count(command.node)) {
+    if (retiring.contains(command.node)) return std::nullopt;
+    if (!storage.known.contains(command.node)) {
       reply.status = if_unknown;
       return std::nullopt;
     }
     retiring.insert(command.node);
     std::size_t left = 0;
-    for (auto& name : storage.live) left += retiring.count(name) ? 0 : 1;
+    for (auto& name : storage.live) left += retiring.contains(name) ? 0 : 1;
     if (left < copies) {
       reply.status = new_here ? command_status::unreachable : command_status::too_few;
       return std::nullopt;
@@ -234,7 +234,7 @@
   if (!agreed) co_return reply;
   auto content = configuration::record_or_empty(read.value);
   bool retiring =
-      configuration::shared_names(content.document, configuration::retiring_storage).count(command.node) > 0;
+      configuration::shared_names(content.document, configuration::retiring_storage).contains(command.node);
   bool holds = false;
   for (auto& voter : agreed->all_voters()) holds = holds || voter.node == command.node;
   auto member = shared->members.find(command.node);
--- a/src/control_node/voter_group_manager.cc
+++ b/src/control_node/voter_group_manager.cc
@@ -43,6 +43,7 @@
 
 std::vector<std::string> nodes_of(const std::vector<voter_info>& voters) {
   std::vector<std::string> nodes;
+  nodes.reserve(voters.size());
   for (auto& voter : voters) nodes.push_back(voter.node);
   return nodes;
 }
@@ -94,7 +95,7 @@
   runtime::mailbox<voter_observation> results(runtime);
   auto voters = agreed.all_voters();
   for (auto& voter : voters)
-    runtime.spawn(self->report_observation(voter, retiring.count(voter.node) > 0, results));
+    runtime.spawn(self->report_observation(voter, retiring.contains(voter.node), results));
   std::vector<voter_observation> observed;
   while (observed.size() < voters.size()) {
     auto seen = co_await results.pop(no_timeout);
@@ -116,7 +117,7 @@
     if (seen.condition == voter_condition::present) unfit.insert(seen.voter.node);
   std::vector<voter_info> spares;
   for (auto& member : context_->members.live(role_)) {
-    if (member.status != rpc::member_status::alive || unfit.count(member.name)) continue;
+    if (member.status != rpc::member_status::alive || unfit.contains(member.name)) continue;
     spares.push_back({unidentified_prefix + member.name, member.inner, member.name, member.zone});
   }
   return spares;
--- a/src/ledger/turn_chains.cc
+++ b/src/ledger/turn_chains.cc
@@ -133,7 +133,7 @@
     }
     bool lacks = received.reply->status == rpc::reply_status::ok && received.reply->bodies.empty();
     if (lacks) lacking_.insert(received.voter);
-    bool proven = view_.quorum([this](const std::string& id) { return lacking_.count(id) > 0; });
+    bool proven = view_.quorum([this](const std::string& id) { return lacking_.contains(id); });
     if (!proven) return std::nullopt;
     result.status = chain_status::missing;
     return result;
--- a/src/proxy/call_handler.cc
+++ b/src/proxy/call_handler.cc
@@ -96,7 +96,7 @@
     reject(out, 400, "an Idempotency-Key of 1 to 256 bytes is needed on this route", executed::no);
     return std::nullopt;
   }
-  bool typed = request.headers.count("content-type") > 0;
+  bool typed = request.headers.contains("content-type");
   call.content_type = typed ? header_of(request, "content-type") : "application/json";
   call.deadline = shared.runtime.now() + static_cast<microseconds>(terms->route.timeout_seconds * second);
   return call;
--- a/src/proxy/config_follower.cc
+++ b/src/proxy/config_follower.cc
@@ -91,8 +91,8 @@
       self->take(*reply, asked);
     else
       co_await shared->runtime.sleep(retry_pause);
-    shared->logger.gauge("herontally_news_age_milliseconds",
-                         static_cast<double>((shared->runtime.now() - shared->fresh_at) / millisecond));
+    auto age_milliseconds = (shared->runtime.now() - shared->fresh_at) / millisecond;
+    shared->logger.gauge("herontally_news_age_milliseconds", static_cast<double>(age_milliseconds));
     shared->logger.gauge("herontally_fresh", shared->is_fresh() ? 1 : 0);
   }
 }
--- a/src/proxy/idempotent_call.cc
+++ b/src/proxy/idempotent_call.cc
@@ -205,7 +205,7 @@
   std::string address;
   for (auto& row : shared->engines.rows()) {
     // Asking is a request too: an engine that drains, or whose zone is evacuated, gets none.
-    bool evacuated = shared->config->evacuated_zones.count(row.zone) > 0;
+    bool evacuated = shared->config->evacuated_zones.contains(row.zone);
     if (row.name == engine && row.usable() && shared->is_fresh() && !evacuated) address = row.address;
   }
   if (address.empty()) co_return std::nullopt;
--- a/src/proxy/node.cc
+++ b/src/proxy/node.cc
@@ -135,7 +135,7 @@
            executed::no, shared->retry_after(1));
     return false;
   }
-  if (!shared->config->partners.count(wanted.partner)) {
+  if (!shared->config->partners.contains(wanted.partner)) {
     reject(out, 404, "no such partner", executed::no);
     return false;
   }
@@ -148,7 +148,7 @@
   context->logger.gauge("herontally_requests", static_cast<double>(context->requests_in_flight));
   context->logger.gauge("herontally_queue", static_cast<double>(context->capacity.size()));
   // A proxy whose zone is evacuated serves who still comes, and asks the platform to send others elsewhere.
-  bool evacuated = context->config && context->config->evacuated_zones.count(context->place.zone) > 0;
+  bool evacuated = context->config && context->config->evacuated_zones.contains(context->place.zone);
   bool ready = context->is_fresh() && !context->leaving && !evacuated;
   auto revision = context->config ? context->config->revision : 0;
   if (http_api::common_pages(request, out, context->logger, ready, {{"revision", revision}})) co_return;
--- a/src/proxy/turn_handler.cc
+++ b/src/proxy/turn_handler.cc
@@ -1,6 +1,7 @@
 #include "proxy/turn_handler.h"
 
 #include <algorithm>
+#include <cmath>
 
 #include "runtime/breaks.h"
 
@@ -95,7 +96,7 @@
   auto each = known == models.end() ? default_turns_per_engine : known->second.turns_per_engine;
   double slots = static_cast<double>(usable * each) / static_cast<double>(shared.ranks.proxies);
   double rounds = static_cast<double>(shared.capacity.size()) / std::max(1.0, slots);
-  return static_cast<std::int64_t>(rounds * shared.turn_seconds + 0.5);
+  return std::llround(rounds * shared.turn_seconds);
 }
 
 // What would be given up later is rejected now.
@@ -272,7 +273,7 @@
 bool turn_handler::may_go_on(reserved_turn& turn) const {
   auto& shared = *context_;
   auto& request = turn.request;
-  if (!shared.is_fresh() || !shared.config->partners.count(request.partner)) return false;
+  if (!shared.is_fresh() || !shared.config->partners.contains(request.partner)) return false;
   auto& section = shared.partner(request.partner);
   const auto* now = section.find_program(request.program);
   if (!now) return false;
@@ -283,7 +284,7 @@
     return false;
   }
   turn.settings = *now;
-  return section.models.count(now->model) > 0;
+  return section.models.contains(now->model);
 }
 
 // A later attempt goes on where the last one broke off: the same tokens in front, the rest of the reservation
--- a/src/reconfiguration/group_catch_up.cc
+++ b/src/reconfiguration/group_catch_up.cc
@@ -109,7 +109,7 @@
 bool copies_suffice(const view& joint, const std::set<std::string>& caught_up) {
   std::size_t holders = 0, previous_holders = 0;
   for (auto& voter : joint.voters) {
-    if (!caught_up.count(voter.id)) continue;
+    if (!caught_up.contains(voter.id)) continue;
     ++holders;
     previous_holders += consensus::contains(joint.previous_voters, voter.id) ? 1 : 0;
   }
--- a/src/reconfiguration/view_install.cc
+++ b/src/reconfiguration/view_install.cc
@@ -65,7 +65,7 @@
   auto endpoint = group.endpoint();
   auto runtime = endpoint.runtime();
   std::set<std::string> installed;
-  auto has = [&installed](const std::string& id) { return installed.count(id) > 0; };
+  auto has = [&installed](const std::string& id) { return installed.contains(id); };
   while (runtime.now() < deadline) {
     runtime::mailbox<install_result> results(runtime);
     std::size_t asked = 0;
--- a/src/replica_storage/bucket_owner.cc
+++ b/src/replica_storage/bucket_owner.cc
@@ -34,6 +34,7 @@
   auto self = shared_from_this();
   staged_changes staged;
   std::vector<command::completion> completions;
+  completions.reserve(commands.size());
   for (auto* each : commands) completions.push_back(each->apply(staged));
   std::optional<storage::error> failed;
   std::vector<std::string> turns;
--- a/src/replication/catch_up.cc
+++ b/src/replication/catch_up.cc
@@ -138,7 +138,7 @@
   auto runtime = self->replica_->endpoint.runtime();
   auto& own_id = self->replica_->identity;
   std::set<std::string> complete;
-  auto is_complete = [&complete](const std::string& voter) { return complete.count(voter) > 0; };
+  auto is_complete = [&complete](const std::string& voter) { return complete.contains(voter); };
   // A voter that stays is one of the previous voters as well; its own records are here already.
   if (consensus::contains(joint.previous_voters, own_id)) complete.insert(own_id);
   std::vector<voter_info> sources;
--- a/src/replication/voter.cc
+++ b/src/replication/voter.cc
@@ -85,7 +85,7 @@
     auto stored = consensus::view_from_text(text);
     if (stored.number > shared->current_view.number) shared->current_view = stored;
   }
-  bool first_start = found.identities.count("") > 0 && shared->current_view.number == 0;
+  bool first_start = found.identities.contains("") && shared->current_view.number == 0;
   bool corrupt = found.corrupt || (found.identities.size() > 1 && !first_start);
   if (corrupt)
     shared->endpoint.logger().error("disk is corrupt; beginning empty under a new identity",
--- a/src/router/attempt.cc
+++ b/src/router/attempt.cc
@@ -42,7 +42,7 @@
   auto named = connection == from.end() ? std::set<std::string>() : connection_options(connection->second);
   headers passed;
   for (auto& [name, value] : from)
-    if (!hop_by_hop.count(name) && !named.count(name)) passed[name] = value;
+    if (!hop_by_hop.contains(name) && !named.contains(name)) passed[name] = value;
   return passed;
 }
 
--- a/src/router/engine_pool.cc
+++ b/src/router/engine_pool.cc
@@ -77,7 +77,7 @@
     each.address = row.listed.address;
     each.name = row.listed.id;
     each.draining = row.listed.draining || row.draining;
-    each.evacuated = evacuated.count(row.listed.zone) > 0;
+    each.evacuated = evacuated.contains(row.listed.zone);
     // Out of use for a while after failures; then one request tries it.
     bool down = now < row.down_until || (row.on_probation && row.ours > 0);
     each.live = row.present && !down && may_take_in_slow_start(row, service, group, wall, now);
@@ -114,7 +114,7 @@
   for (auto number : found->second) {
     auto& row = rows_[number];
     bool out =
-        row.listed.draining || row.draining || evacuated.count(row.listed.zone) > 0 || now < row.down_until;
+        row.listed.draining || row.draining || evacuated.contains(row.listed.zone) || now < row.down_until;
     count += row.present && !out ? 1 : 0;
   }
   return count;
--- a/src/settings/settings.cc
+++ b/src/settings/settings.cc
@@ -106,7 +106,7 @@
                                            "disk_megabytes", "notice_milliseconds",
                                            "machine_losses", "zone_losses"};
   for (auto& [field, value] : document.items())
-    if (!known.count(field)) return fault{field, "is not a setting"};
+    if (!known.contains(field)) return fault{field, "is not a setting"};
   reader from{document, std::nullopt};
   settings out;
   out.role = role;
@@ -125,7 +125,7 @@
   read_operators(from, out);
   auto level = from.text("log_level", false);
   static const std::set<std::string> levels{"", "DEBUG", "INFO", "WARN", "ERROR", "OFF"};
-  if (!levels.count(level)) from.fail("log_level", "must be DEBUG, INFO, WARN, ERROR or OFF");
+  if (!levels.contains(level)) from.fail("log_level", "must be DEBUG, INFO, WARN, ERROR or OFF");
   if (!level.empty()) out.log_level = level;
   out.disk_megabytes = from.number("disk_megabytes", out.disk_megabytes, 1, 1 << 20);
   out.notice_milliseconds = from.number("notice_milliseconds", out.notice_milliseconds, 100, 600000);
