--- a/src/hctl/main.cc
+++ b/src/hctl/main.cc
@@ -1,7 +1,7 @@
 #include <absl/flags/flag.h>
 
 #include "hctl/commands.h"
-#include "runtime/real.h"
+#include "runtime/event_loop.h"
 #include "settings/settings.h"
 
 ABSL_FLAG(std::string, core, "", "HTTP addresses of cores, with commas between");
@@ -39,9 +39,9 @@
     rest.push_back("expect");
     rest.push_back(std::to_string(absl::GetFlag(FLAGS_expect)));
   }
-  runtime::real loop("");
+  runtime::event_loop loop("");
   int code = 0;
-  auto work = [](runtime::real* owner, hctl::setting given, std::vector<std::string> rest,
+  auto work = [](runtime::event_loop* owner, hctl::setting given, std::vector<std::string> rest,
                  int* result) -> runtime::task<> {
     *result = co_await hctl::run(owner->runtime(), given, rest);
     owner->stop();
--- a/src/hscale/main.cc
+++ b/src/hscale/main.cc
@@ -2,7 +2,7 @@
 #include <sys/resource.h>
 
 #include "hscale/hollow.h"
-#include "runtime/real.h"
+#include "runtime/event_loop.h"
 #include "settings/settings.h"
 
 ABSL_FLAG(std::string, file, "", "JSON file with the hollow machines or engines");
@@ -99,7 +99,7 @@
   fclose(file);
   if (!document.is_object()) herontally::settings::end_with("hscale", {"--file", "names no JSON object"});
   logging::start("hscale", "OFF");
-  runtime::real loop("");
+  runtime::event_loop loop("");
   fleet own{std::make_shared<sightings>(), {}, loop.runtime()};
   for (auto& engine : document.value("engines", json::array())) serve_engine(loop.runtime(), engine);
   for (auto& each : document.value("machines", json::array())) {
--- a/src/htrace/main.cc
+++ b/src/htrace/main.cc
@@ -3,7 +3,7 @@
 #include <stdio.h>
 
 #include "membership/member_list.h"
-#include "runtime/real.h"
+#include "runtime/event_loop.h"
 #include "settings/settings.h"
 
 ABSL_FLAG(std::string, seeds, "", "inner addresses of any processes, with commas between");
@@ -146,9 +146,9 @@
   }
   if (seeds.empty()) settings::end_with("htrace", {"--seeds", "is missing"});
   logging::start("htrace", "ERROR");
-  runtime::real loop("");
+  runtime::event_loop loop("");
   int code = 0;
-  auto work = [](runtime::real* owner, std::vector<std::string> seeds, int* result) -> task<> {
+  auto work = [](runtime::event_loop* owner, std::vector<std::string> seeds, int* result) -> task<> {
     *result =
         co_await trace(owner->runtime(), seeds, absl::GetFlag(FLAGS_revision), absl::GetFlag(FLAGS_json));
     owner->stop();
--- a/src/placement/placement.cc
+++ b/src/placement/placement.cc
@@ -37,7 +37,7 @@
   bool cold = each.age_seconds < asked.warm_seconds && !broken("cold");
   if (each.reported + each.sent_since_report >= cap) return false;
   // A cold engine is not flooded by many proxies that can't see each other's turns yet.
-  return !cold || each.ours < share_of(cap, asked, each.name);
+  return !cold || each.in_flight < share_of(cap, asked, each.name);
 }
 
 std::int64_t pull_cap(std::int64_t full, const placement_request& asked, const engine& each) {
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -21,7 +21,7 @@
   std::int64_t reported = 0;           // waiting and running, by its own last report
   std::int64_t queue = 0;              // waiting alone
   std::int64_t sent_since_report = 0;  // ours, sent on since that report
-  std::int64_t ours = 0;               // ours in all
+  std::int64_t in_flight = 0;          // ours in all
   std::int64_t our_pulls_from = 0,
                our_pulls_into = 0;  // pulls under way that we named it for, as lender and as borrower
   double age_seconds = 1e9;         // since this life of it was first seen ready
--- a/src/proxy/attempt_plan.cc
+++ b/src/proxy/attempt_plan.cc
@@ -5,7 +5,7 @@
 using runtime::millisecond;
 using runtime::second;
 
-std::vector<placement::engine> engines_of(const std::vector<engine::engine_row>& rows,
+std::vector<placement::engine> engines_of(const std::vector<engine::engine_state>& rows,
                                           const std::string& kind, const std::string& partner,
                                           const std::string& serves, const planning_context& context) {
   std::vector<placement::engine> engines;
@@ -17,13 +17,13 @@
     each.zone = row.zone;
     each.address = row.address;
     each.weights = row.weights;
-    each.live = row.listed && row.answers;
-    each.draining = row.leaving || row.draining;
+    each.live = row.listed && row.healthy;
+    each.draining = row.draining_by_platform || row.draining_by_engine;
     each.evacuated = context.config.evacuated_zones.contains(row.zone);
     each.reported = row.queue + row.running;
     each.queue = row.queue;
     each.sent_since_report = row.sent_since_report;
-    each.ours = row.ours;
+    each.in_flight = row.in_flight;
     each.our_pulls_from = row.our_pulls_from;
     each.our_pulls_into = row.our_pulls_into;
     each.age_seconds = static_cast<double>(context.now - row.first_ready) / second;
@@ -90,7 +90,7 @@
 }
 
 std::variant<turn_plan, unplanned> plan_turn(const turn_subject& subject, const planning_context& context,
-                                             const std::vector<engine::engine_row>& rows,
+                                             const std::vector<engine::engine_state>& rows,
                                              const prefix::index& held, std::mt19937_64& random) {
   turn_plan plan;
   auto identity = identity_of(subject);
@@ -123,7 +123,7 @@
 }
 
 std::optional<call_plan> plan_call(const call_subject& subject, const planning_context& context,
-                                   const std::vector<engine::engine_row>& rows, std::mt19937_64& random) {
+                                   const std::vector<engine::engine_state>& rows, std::mt19937_64& random) {
   auto engines = engines_of(rows, "application", subject.partner, subject.route.application, context);
   placement::placement_request asked;
   asked.max_concurrent = subject.application.calls_per_engine;
--- a/src/proxy/attempt_plan.h
+++ b/src/proxy/attempt_plan.h
@@ -1,7 +1,7 @@
 // The plan of one attempt of a turn or a call: made as data, without I/O, then carried out as it stands.
 #pragma once
 #include "engine/completion.h"
-#include "engine/watch.h"
+#include "engine/engine_monitor.h"
 #include "placement/placement.h"
 #include "runtime/runtime.h"
 
@@ -46,7 +46,7 @@
   int attempt = 1;
 };
 
-std::vector<placement::engine> engines_of(const std::vector<engine::engine_row>& rows,
+std::vector<placement::engine> engines_of(const std::vector<engine::engine_state>& rows,
                                           const std::string& kind, const std::string& partner,
                                           const std::string& serves, const planning_context& context);
 
@@ -65,7 +65,7 @@
   hopeless,  // no engine is there that could ever take it
 };
 std::variant<turn_plan, unplanned> plan_turn(const turn_subject& subject, const planning_context& context,
-                                             const std::vector<engine::engine_row>& rows,
+                                             const std::vector<engine::engine_state>& rows,
                                              const prefix::index& held, std::mt19937_64& random);
 
 struct call_subject {
@@ -75,6 +75,6 @@
   runtime::microseconds deadline = 0;
 };
 std::optional<call_plan> plan_call(const call_subject& subject, const planning_context& context,
-                                   const std::vector<engine::engine_row>& rows, std::mt19937_64& random);
+                                   const std::vector<engine::engine_state>& rows, std::mt19937_64& random);
 
 }  // namespace herontally::proxy
--- a/src/proxy/call_handler.cc
+++ b/src/proxy/call_handler.cc
@@ -118,9 +118,10 @@
   auto shared = context_;
   auto engine = plan.destination;
   ++shared->engines.row(engine).sent_since_report;
-  ++shared->engines.row(engine).ours;
+  ++shared->engines.row(engine).in_flight;
   // The watch is a handle: the copy stays good after the node is gone.
-  in_flight_guard occupied([engines = shared->engines, engine]() mutable { --engines.row(engine).ours; });
+  in_flight_guard occupied(
+      [engines = shared->engines, engine]() mutable { --engines.row(engine).in_flight; });
   auto left = std::max<microseconds>(min_call_time, call.deadline - shared->runtime.now());
   auto result = co_await runtime::http_fetch(shared->runtime, plan.address, plan.request, left);
   auto outcome = outcome_of(result);
--- a/src/proxy/config_follower.cc
+++ b/src/proxy/config_follower.cc
@@ -55,9 +55,9 @@
   if (!reply.engines.empty()) {
     engines_epoch_ = reply.engines_epoch;
     engines_sequence_ = reply.engines_sequence;
-    if (own_protocol) shared.engines.list(reply.engines);
+    if (own_protocol) shared.engines.set_list(reply.engines);
   }
-  if (own_protocol) shared.engines.leaving(reply.draining_engines);
+  if (own_protocol) shared.engines.set_draining(reply.draining_engines);
   bool changed = take_config(reply);
   if (shared.config) update_ranks();
   on_update_(reply, changed);
--- a/src/proxy/context.cc
+++ b/src/proxy/context.cc
@@ -102,7 +102,7 @@
   constexpr microseconds longest = 2 * second;
   auto self = shared_from_this();
   auto begun = self->runtime.now();
-  while (self->engines.row(engine).report_asked < begun + message_time &&
+  while (self->engines.row(engine).report_requested_at < begun + message_time &&
          self->runtime.now() < begun + longest)
     co_await self->runtime.sleep(50 * millisecond);
   taken = in_flight_guard();
--- a/src/proxy/context.h
+++ b/src/proxy/context.h
@@ -70,7 +70,7 @@
   ledger::conversation_ledger conversations;
   ledger::call_ledger calls;
   platform_options platform;
-  engine::watch engines;
+  engine::engine_monitor engines;
   prefix::index prefixes;  // which engine is believed to hold which blocks of prompts
   config_distribution::change_trace trace;
   capacity_queue capacity;
--- a/src/proxy/node.cc
+++ b/src/proxy/node.cc
@@ -73,7 +73,7 @@
 
 void node::state::watch_engines() {
   std::weak_ptr<context> weak = shared;
-  shared->engines.on_reset([weak](const engine::engine_row& row) {
+  shared->engines.on_reset([weak](const engine::engine_state& row) {
     // Whatever it held, nothing is believed of it now.
     if (auto here = weak.lock()) here->prefixes.forget(row.number);
   });
--- a/src/proxy/turn_attempt.cc
+++ b/src/proxy/turn_attempt.cc
@@ -21,7 +21,7 @@
   auto source = plan_.source;
   auto& row = context_->engines.row(destination);
   ++row.sent_since_report;
-  ++row.ours;
+  ++row.in_flight;
   if (source) {
     ++row.our_pulls_into;
     ++context_->engines.row(*source).our_pulls_from;
@@ -29,7 +29,7 @@
   return in_flight_guard([weak = std::weak_ptr<context>(context_), destination, source] {
     auto shared = weak.lock();
     if (!shared) return;
-    --shared->engines.row(destination).ours;
+    --shared->engines.row(destination).in_flight;
     if (source) {
       --shared->engines.row(destination).our_pulls_into;
       --shared->engines.row(*source).our_pulls_from;
@@ -125,7 +125,7 @@
 
 bool turn_attempt::is_silent() const {
   auto silence = context_->runtime.now() - heard_;
-  bool reports = context_->engines.row(plan_.destination).answers;
+  bool reports = context_->engines.row(plan_.destination).healthy;
   return silence > max_silence || (silence > max_silence_unreported && !reports);
 }
 
--- a/src/router/attempt_plan.cc
+++ b/src/router/attempt_plan.cc
@@ -63,7 +63,7 @@
       std::max<std::int64_t>(2, asked.service.connections / (std::max<std::int64_t>(1, context.nodes) + 2));
   for (auto& each : all) {
     auto capacity = engines.row(each.number).listed.capacity;
-    each.live = each.live && each.ours < std::min(capacity, connections);
+    each.live = each.live && each.in_flight < std::min(capacity, connections);
   }
   question.warm_seconds = 0;  // cold engines are held back by their rate
   if (asked.service.model) question.min_cached_token_delta = asked.service.model->min_cached_token_delta;
--- a/src/router/engine_pool.cc
+++ b/src/router/engine_pool.cc
@@ -57,7 +57,7 @@
 
 double engine_pool::work(const engine_row& row, microseconds now) {
   double faded = row.recent * std::exp(-static_cast<double>(now - row.recent_at) / load_decay_time);
-  return faded + static_cast<double>(row.unread) + request_tokens * static_cast<double>(row.ours);
+  return faded + static_cast<double>(row.unread) + request_tokens * static_cast<double>(row.in_flight);
 }
 
 std::vector<placement::engine> engine_pool::candidates(const routing::service& service,
@@ -79,10 +79,10 @@
     each.draining = row.listed.draining || row.draining;
     each.evacuated = evacuated.contains(row.listed.zone);
     // Out of use for a while after failures; then one request tries it.
-    bool down = now < row.down_until || (row.on_probation && row.ours > 0);
+    bool down = now < row.down_until || (row.on_probation && row.in_flight > 0);
     each.live = row.present && !down && may_take_in_slow_start(row, service, group, wall, now);
-    each.queue = row.ours;
-    each.ours = row.ours;
+    each.queue = row.in_flight;
+    each.in_flight = row.in_flight;
     bool free = each.live && !each.draining && !each.evacuated;
     double load = work(row, now);
     if (free && (least < 0 || load < least)) least = load;
@@ -92,7 +92,7 @@
     auto& row = rows_[each.number];
     if (!service.model) {
       bool near = row.listed.zone == zone, warm = row.last_answer >= 0 && now - row.last_answer < 3 * second;
-      each.reported = row.ours;
+      each.reported = row.in_flight;
       each.tie_break_score = (near ? 2 : 0) + (warm ? 1 : 0);
       continue;
     }
@@ -122,7 +122,7 @@
 
 void engine_pool::sent(interning::symbol number, std::int64_t unread, microseconds now) {
   auto& row = rows_[number];
-  ++row.ours;
+  ++row.in_flight;
   row.unread += unread;
   row.recent = row.recent * std::exp(-static_cast<double>(now - row.recent_at) / load_decay_time) +
                static_cast<double>(unread) + request_tokens;
@@ -134,7 +134,7 @@
 
 void engine_pool::begun(interning::symbol number, std::int64_t unread) { rows_[number].unread -= unread; }
 
-void engine_pool::ended(interning::symbol number) { --rows_[number].ours; }
+void engine_pool::ended(interning::symbol number) { --rows_[number].in_flight; }
 
 void engine_pool::answered(interning::symbol number, const platform_protocol::response_metadata& metadata,
                            microseconds now) {
--- a/src/router/engine_pool.h
+++ b/src/router/engine_pool.h
@@ -19,9 +19,9 @@
 struct engine_row {
   interning::symbol number = 0;
   platform_protocol::listed_engine listed;
-  bool present = false;   // on the newest list
-  bool draining = false;  // by its own word, or by a look of our agent's
-  std::int64_t ours = 0;  // our requests under way there
+  bool present = false;        // on the newest list
+  bool draining = false;       // by its own word, or by a look of our agent's
+  std::int64_t in_flight = 0;  // our requests under way there
   // Prompt tokens that we gave it to read: those of requests that have not begun to answer, and those of the
   // last moments, fading.
   std::int64_t unread = 0;
--- a/src/runtime/real_files.cc
+++ b/src/runtime/data_files.cc
@@ -6,7 +6,7 @@
 
 #include <set>
 
-#include "runtime/real_parts.h"
+#include "runtime/event_loop_parts.h"
 
 namespace herontally::runtime {
 
--- a/src/runtime/real.cc
+++ b/src/runtime/event_loop.cc
@@ -1,4 +1,4 @@
-#include "runtime/real.h"
+#include "runtime/event_loop.h"
 
 #include <event2/event.h>
 #include <event2/thread.h>
@@ -7,7 +7,7 @@
 
 #include <unordered_map>
 
-#include "runtime/real_parts.h"
+#include "runtime/event_loop_parts.h"
 
 namespace herontally::runtime {
 
@@ -45,7 +45,7 @@
   work();
 }
 
-struct real::state {
+struct event_loop::state {
   event_base* base = nullptr;
   timer_table timers;
   std::shared_ptr<channel_part> channels;
@@ -56,6 +56,8 @@
   struct event* hangup = nullptr;
   struct event* term = nullptr;
   struct event* interrupt = nullptr;
+
+  void bind_signals();
 };
 
 static void on_signal(evutil_socket_t, short, void* raw) {
@@ -63,19 +65,13 @@
   (*self)();
 }
 
-real::real(std::string data_folder) : state_(std::make_unique<state>()) {
-  // A peer that goes away while we write must not end the process.
-  signal(SIGPIPE, SIG_IGN);
-  auto* config = event_config_new();
-  event_config_set_flag(config, EVENT_BASE_FLAG_PRECISE_TIMER);
-  state_->base = event_base_new_with_config(config);
-  event_config_free(config);
-  state_->timers.base = state_->base;
-  auto* timers = &state_->timers;
-  backend table;
+static void bind_clocks(backend& table) {
   // BOOTTIME goes on while the machine is suspended, so a lease can't outlive a sleep unnoticed.
   table.now = [] { return read_clock(CLOCK_BOOTTIME); };
   table.wall = [] { return read_clock(CLOCK_REALTIME); };
+}
+
+static void bind_timers(timer_table* timers, backend& table) {
   table.after = [timers](microseconds delay, std::function<void()> work) {
     std::uint64_t number = timers->next++;
     auto* argument = new timer_argument{timers, number};
@@ -93,6 +89,46 @@
     event_free(found->second.alarm);
     timers->entries.erase(found);
   };
+}
+
+static std::uint64_t random_seed(const backend& table) {
+  std::uint64_t seed =
+      static_cast<std::uint64_t>(table.wall()) ^ (static_cast<std::uint64_t>(table.now()) << 20);
+  FILE* source = fopen("/dev/urandom", "rb");
+  if (!source) return seed;
+  std::uint64_t extra = 0;
+  if (fread(&extra, sizeof extra, 1, source) == 1) seed ^= extra;
+  fclose(source);
+  return seed;
+}
+
+static event_base* make_event_base() {
+  auto* config = event_config_new();
+  event_config_set_flag(config, EVENT_BASE_FLAG_PRECISE_TIMER);
+  auto* base = event_base_new_with_config(config);
+  event_config_free(config);
+  return base;
+}
+
+void event_loop::state::bind_signals() {
+  term = evsignal_new(base, SIGTERM, on_signal, &notice);
+  interrupt = evsignal_new(base, SIGINT, on_signal, &notice);
+  // Without a handler a hangup does nothing: by default it would end the process.
+  reload = [] {};
+  hangup = evsignal_new(base, SIGHUP, on_signal, &reload);
+  event_add(hangup, nullptr);
+  event_add(term, nullptr);
+  event_add(interrupt, nullptr);
+}
+
+event_loop::event_loop(std::string data_folder) : state_(std::make_unique<state>()) {
+  // A peer that goes away while we write must not end the process.
+  signal(SIGPIPE, SIG_IGN);
+  state_->base = make_event_base();
+  state_->timers.base = state_->base;
+  backend table;
+  bind_clocks(table);
+  bind_timers(&state_->timers, table);
   state_->channels = make_channels(state_->base, table.after, table.cancel);
   state_->server = make_http_server(state_->base);
   state_->client = make_http_client(state_->base, table);
@@ -100,27 +136,13 @@
   bind_http_server(state_->server, table);
   bind_http_client(state_->client, table);
   bind_files(std::move(data_folder), table);
-  std::uint64_t seed =
-      static_cast<std::uint64_t>(table.wall()) ^ (static_cast<std::uint64_t>(table.now()) << 20);
-  FILE* source = fopen("/dev/urandom", "rb");
-  if (source) {
-    std::uint64_t extra = 0;
-    if (fread(&extra, sizeof extra, 1, source) == 1) seed ^= extra;
-    fclose(source);
-  }
+  std::uint64_t seed = random_seed(table);
   state_->runtime.emplace(std::move(table), seed);
   state_->notice = [this] { stop(); };
-  state_->term = evsignal_new(state_->base, SIGTERM, on_signal, &state_->notice);
-  state_->interrupt = evsignal_new(state_->base, SIGINT, on_signal, &state_->notice);
-  // Without a handler a hangup does nothing: by default it would end the process.
-  state_->reload = [] {};
-  state_->hangup = evsignal_new(state_->base, SIGHUP, on_signal, &state_->reload);
-  event_add(state_->hangup, nullptr);
-  event_add(state_->term, nullptr);
-  event_add(state_->interrupt, nullptr);
+  state_->bind_signals();
 }
 
-real::~real() {
+event_loop::~event_loop() {
   state_->runtime->stop();
   state_->client.reset();
   state_->server.reset();
@@ -138,10 +160,10 @@
   event_base_free(state_->base);
 }
 
-handle real::runtime() const { return *state_->runtime; }
-void real::run() { event_base_dispatch(state_->base); }
-void real::stop() { event_base_loopbreak(state_->base); }
-void real::on_notice(std::function<void()> handler) { state_->notice = std::move(handler); }
-void real::on_reload(std::function<void()> handler) { state_->reload = std::move(handler); }
+handle event_loop::runtime() const { return *state_->runtime; }
+void event_loop::run() { event_base_dispatch(state_->base); }
+void event_loop::stop() { event_base_loopbreak(state_->base); }
+void event_loop::on_notice(std::function<void()> handler) { state_->notice = std::move(handler); }
+void event_loop::on_reload(std::function<void()> handler) { state_->reload = std::move(handler); }
 
 }  // namespace herontally::runtime
--- a/src/runtime/real.h
+++ b/src/runtime/event_loop.h
@@ -1,4 +1,4 @@
-// The real making of a runtime: libevent, TCP, evhttp and files under one data folder.
+// The event_loop making of a runtime: libevent, TCP, evhttp and files under one data folder.
 #pragma once
 #include "runtime/runtime.h"
 
@@ -6,12 +6,12 @@
 
 namespace herontally::runtime {
 
-class real {
+class event_loop {
  public:
   // An empty folder means that this process keeps nothing on disk.
-  explicit real(std::string data_folder);
-  ~real();
-  real(const real&) = delete;
+  explicit event_loop(std::string data_folder);
+  ~event_loop();
+  event_loop(const event_loop&) = delete;
   handle runtime() const;
   // Returns after `stop` or, when a notice handler is set, once that handler has called `stop`.
   void run();
--- a/src/runtime/real_pool_connection.cc
+++ b/src/runtime/http_client_connection.cc
@@ -4,7 +4,7 @@
 #include <event2/event.h>
 #include <sys/socket.h>
 
-#include "runtime/real_pool.h"
+#include "runtime/http_connection_pool.h"
 
 namespace herontally::runtime {
 
--- a/src/runtime/real_pool.cc
+++ b/src/runtime/http_connection_pool.cc
@@ -1,5 +1,5 @@
 // HTTP/1.1 towards other servers: kept connections by address, or one of its own for each request.
-#include "runtime/real_pool.h"
+#include "runtime/http_connection_pool.h"
 
 #include <event2/bufferevent.h>
 #include <event2/event.h>
--- a/src/runtime/real_pool.h
+++ b/src/runtime/http_connection_pool.h
@@ -5,7 +5,7 @@
 #include <unordered_map>
 #include <utility>
 
-#include "runtime/real_parts.h"
+#include "runtime/event_loop_parts.h"
 
 struct bufferevent;
 
--- a/src/runtime/real_answer.cc
+++ b/src/runtime/http_response_reader.cc
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-#include "runtime/real_pool.h"
+#include "runtime/http_connection_pool.h"
 
 namespace herontally::runtime {
 
--- a/src/runtime/real_http_server.cc
+++ b/src/runtime/http_server.cc
@@ -8,7 +8,7 @@
 
 #include <algorithm>
 
-#include "runtime/real_server.h"
+#include "runtime/http_server_parts.h"
 
 namespace herontally::runtime {
 
--- a/src/runtime/real_server_connection.cc
+++ b/src/runtime/http_server_connection.cc
@@ -7,7 +7,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#include "runtime/real_server.h"
+#include "runtime/http_server_parts.h"
 
 namespace herontally::runtime {
 
--- a/src/runtime/real_http_writer.cc
+++ b/src/runtime/http_server_exchange.cc
@@ -3,7 +3,7 @@
 #include <event2/bufferevent.h>
 #include <event2/http.h>
 
-#include "runtime/real_server.h"
+#include "runtime/http_server_parts.h"
 
 namespace herontally::runtime {
 
--- a/src/runtime/program.h
+++ b/src/runtime/program.h
@@ -6,7 +6,7 @@
 #include <iostream>
 
 #include "logging/logging.h"
-#include "runtime/real.h"
+#include "runtime/event_loop.h"
 #include "settings/settings.h"
 
 namespace herontally::runtime {
@@ -27,12 +27,12 @@
 template <class Node, class... Extra>
 int serve_until_notice(settings::settings place, const std::string& role, Extra... extra) {
   logging::start(role, place.log_level);
-  real loop(place.data);
+  event_loop loop(place.data);
   logging::logger logger(place.name);
   std::optional<Node> node;
   node.emplace(loop.runtime(), place, logger, extra...);
   int code = 0;
-  auto begin = [](Node* started, real* owner, int* result, std::string name) -> task<> {
+  auto begin = [](Node* started, event_loop* owner, int* result, std::string name) -> task<> {
     auto fault = co_await started->start();
     if (!fault) co_return;
     fprintf(stderr, "%s: %s\n", name.c_str(), fault->c_str());
@@ -44,7 +44,7 @@
   loop.on_notice([&] {
     if (leaving) return;
     leaving = true;
-    auto end = [](Node* started, real* owner) -> task<> {
+    auto end = [](Node* started, event_loop* owner) -> task<> {
       co_await started->leave();
       owner->stop();
     };
--- a/src/runtime/real_channels.cc
+++ b/src/runtime/rpc_channels.cc
@@ -9,7 +9,7 @@
 
 #include <unordered_map>
 
-#include "runtime/real_parts.h"
+#include "runtime/event_loop_parts.h"
 
 namespace herontally::runtime {
 
--- a/src/runtime/real_address.cc
+++ b/src/runtime/socket_options.cc
@@ -5,7 +5,7 @@
 #include <string.h>
 #include <sys/socket.h>
 
-#include "runtime/real_parts.h"
+#include "runtime/event_loop_parts.h"
 
 namespace herontally::runtime {
 
--- a/src/simcaller/main.cc
+++ b/src/simcaller/main.cc
@@ -1,7 +1,7 @@
 #include <absl/flags/flag.h>
 #include <stdio.h>
 
-#include "runtime/real.h"
+#include "runtime/event_loop.h"
 #include "settings/settings.h"
 #include "simcaller/load.h"
 
@@ -44,9 +44,9 @@
     settings::end_with("simcaller", {"--seconds", "must be above 0"});
   choice.crowd_at_second = absl::GetFlag(FLAGS_crowd_at_second);
   choice.crowd = absl::GetFlag(FLAGS_crowd);
-  runtime::real loop("");
+  runtime::event_loop loop("");
   int code = 0;
-  auto work = [](runtime::real* owner, simcaller::options choice, int* result) -> runtime::task<> {
+  auto work = [](runtime::event_loop* owner, simcaller::options choice, int* result) -> runtime::task<> {
     simcaller::watcher observer;
     auto report = co_await simcaller::run(owner->runtime(), choice, observer);
     printf("%s\n", report.dump(2).c_str());
--- a/src/simengine/main.cc
+++ b/src/simengine/main.cc
@@ -1,6 +1,6 @@
 #include <absl/flags/flag.h>
 
-#include "runtime/real.h"
+#include "runtime/event_loop.h"
 #include "settings/settings.h"
 #include "simengine/node.h"
 
@@ -50,10 +50,10 @@
   choice.block_tokens = absl::GetFlag(FLAGS_block_tokens);
   choice.hash_seed = absl::GetFlag(FLAGS_hash_seed);
   logging::start("simengine", "WARN");
-  runtime::real loop("");
+  runtime::event_loop loop("");
   simengine::node node(loop.runtime(), choice, logging::logger(choice.name));
   int code = 0;
-  auto begin = [](simengine::node* started, runtime::real* owner, int* result) -> runtime::task<> {
+  auto begin = [](simengine::node* started, runtime::event_loop* owner, int* result) -> runtime::task<> {
     auto fault = co_await started->start();
     if (!fault) co_return;
     fprintf(stderr, "simengine: %s\n", fault->c_str());
@@ -65,7 +65,7 @@
   loop.on_notice([&] {
     if (leaving) return;
     leaving = true;
-    auto end = [](simengine::node* started, runtime::real* owner) -> runtime::task<> {
+    auto end = [](simengine::node* started, runtime::event_loop* owner) -> runtime::task<> {
       co_await started->leave();
       owner->stop();
     };
--- a/src/simplatform/main.cc
+++ b/src/simplatform/main.cc
@@ -1,6 +1,6 @@
 #include <absl/flags/flag.h>
 
-#include "runtime/real.h"
+#include "runtime/event_loop.h"
 #include "settings/settings.h"
 #include "simplatform/node.h"
 
@@ -37,10 +37,10 @@
     if (!settings::is_address(address)) settings::end_with("simplatform", {"--nodes", "must list ip:port"});
   choice.late_milliseconds = absl::GetFlag(FLAGS_late_milliseconds);
   logging::start("simplatform", "WARN");
-  runtime::real loop("");
+  runtime::event_loop loop("");
   simplatform::node node(loop.runtime(), choice, logging::logger("platform"));
   int code = 0;
-  auto begin = [](simplatform::node* started, runtime::real* owner, int* result) -> runtime::task<> {
+  auto begin = [](simplatform::node* started, runtime::event_loop* owner, int* result) -> runtime::task<> {
     auto fault = co_await started->start();
     if (!fault) co_return;
     fprintf(stderr, "simplatform: %s\n", fault->c_str());
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -13,7 +13,7 @@
 #include <deque>
 #include <utility>
 
-#include "runtime/real_parts.h"
+#include "runtime/event_loop_parts.h"
 
 namespace loopback {
 
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -103,7 +103,7 @@
         // This proxy alone, with nothing seen of the others: the worst case.
         while (placement::place(asked, {cold}, random)) {
           ++turns;
-          ++cold.ours;
+          ++cold.in_flight;
           ++cold.sent_since_report;
         }
         std::vector<placement::engine> engines{cold, ready(1, 0)};
@@ -133,7 +133,7 @@
       auto engine = ready(static_cast<std::uint32_t>(7 * rank + number % 5), 0);
       engine.name = "engine-" + std::to_string(number);
       engine.age_seconds = 0.5;
-      for (; placement::place(asked, {engine}, random) && engine.ours < 9; ++taken) ++engine.ours;
+      for (; placement::place(asked, {engine}, random) && engine.in_flight < 9; ++taken) ++engine.in_flight;
     }
     REQUIRE(taken == 1);
   }
--- a/tests/storage_memory_test.cc
+++ b/tests/storage_memory_test.cc
@@ -5,7 +5,7 @@
 #include <filesystem>
 
 #include "heap_meter.h"
-#include "runtime/real.h"
+#include "runtime/event_loop.h"
 #include "storage/log_store.h"
 
 using namespace herontally;
@@ -42,7 +42,7 @@
   return std::string(value_bytes, static_cast<char>('a' + number % 26)) + std::to_string(number);
 }
 
-runtime::task<> write_day(runtime::real* process, storage::log_store* store, int* written) {
+runtime::task<> write_day(runtime::event_loop* process, storage::log_store* store, int* written) {
   for (int first = 0; first < record_total; first += records_in_batch) {
     std::vector<storage::change> changes;
     for (int number = first; number < first + records_in_batch; ++number)
@@ -61,7 +61,7 @@
   logging::logger logger("m", [](auto&, auto&) {});
   constexpr std::size_t most_live = record_total * most_for_record;
   {
-    runtime::real process(folder.path);
+    runtime::event_loop process(folder.path);
     auto before = tests::heap_now().live;
     storage::log_store store(process.runtime(), day_store(), logger);
     REQUIRE_FALSE(store.recover());
@@ -76,7 +76,7 @@
     REQUIRE(use.live - before < most_live);
     REQUIRE(use.peak - before < most_live + most_for_work);
   }
-  runtime::real process(folder.path);
+  runtime::event_loop process(folder.path);
   auto before = tests::heap_now().live;
   tests::reset_heap_peak();
   storage::log_store store(process.runtime(), day_store(), logger);
