--- a/src/htrace/main.cc
+++ b/src/config_trace/main.cc
@@ -16,12 +16,12 @@
 using runtime::task;
 
 static const char* usage_text =
-    "htrace: follows one change of the desired state through all nodes\n\n"
-    "Usage: htrace --seeds IP:PORT[,IP:PORT...] [--revision N] [--json]\n\n"
+    "config_trace: follows one change of the desired state through all nodes\n\n"
+    "Usage: config_trace --seeds IP:PORT[,IP:PORT...] [--revision N] [--json]\n\n"
     "Prints when the change was chosen, when and by which way each node learned it, when each proxy had it\n"
     "in force, and which nodes lag. Exit codes: 0 everywhere, 1 some node lags or does not answer, 2 bad "
     "usage,\n"
-    "3 nothing reached.\n\nExample:\n  htrace --seeds 127.0.0.1:7101 --revision 12\n";
+    "3 nothing reached.\n\nExample:\n  config_trace --seeds 127.0.0.1:7101 --revision 12\n";
 
 struct node_trace {
   rpc::member who;
@@ -100,7 +100,7 @@
 
 static task<int> trace(runtime::handle runtime, std::vector<std::string> seeds, std::int64_t revision,
                        bool as_json) {
-  rpc::endpoint endpoint(runtime, "htrace", logging::logger("htrace"));
+  rpc::endpoint endpoint(runtime, "config_trace", logging::logger("config_trace"));
   std::vector<node_trace> nodes;
   for (auto& seed : seeds) {
     rpc::probe_request request{"", true, {}};
@@ -112,7 +112,7 @@
     if (!nodes.empty()) break;
   }
   if (nodes.empty()) {
-    fprintf(stderr, "htrace: --seeds names no process that answers\n");
+    fprintf(stderr, "config_trace: --seeds names no process that answers\n");
     co_return 3;
   }
   std::vector<std::string> proxies;
@@ -135,17 +135,18 @@
 
 int main(int count, char** arguments) {
   auto rest = settings::parse_flags(count, arguments, usage_text);
-  if (!rest.empty()) settings::end_with("htrace", {rest[0], "is not expected"});
+  if (!rest.empty()) settings::end_with("config_trace", {rest[0], "is not expected"});
   std::vector<std::string> seeds;
   std::string text = absl::GetFlag(FLAGS_seeds);
   for (std::size_t begin = 0; begin < text.size();) {
     auto end = std::min(text.find(',', begin), text.size());
     seeds.push_back(text.substr(begin, end - begin));
-    if (!settings::is_address(seeds.back())) settings::end_with("htrace", {"--seeds", "must list ip:port"});
+    if (!settings::is_address(seeds.back()))
+      settings::end_with("config_trace", {"--seeds", "must list ip:port"});
     begin = end + 1;
   }
-  if (seeds.empty()) settings::end_with("htrace", {"--seeds", "is missing"});
-  logging::start("htrace", "ERROR");
+  if (seeds.empty()) settings::end_with("config_trace", {"--seeds", "is missing"});
+  logging::start("config_trace", "ERROR");
   runtime::event_loop loop("");
   int code = 0;
   auto work = [](runtime::event_loop* owner, std::vector<std::string> seeds, int* result) -> task<> {
--- a/src/simengine/main.cc
+++ b/src/engine_stand_in/main.cc
@@ -1,8 +1,8 @@
 #include <absl/flags/flag.h>
 
+#include "engine_stand_in/node.h"
 #include "runtime/event_loop.h"
 #include "settings/settings.h"
-#include "simengine/node.h"
 
 ABSL_FLAG(std::string, engine, "", "JSON file that lists engines, as the platform does");
 ABSL_FLAG(std::string, only, "", "the name of the engine in that file to be");
@@ -18,18 +18,21 @@
 
 int main(int count, char** arguments) {
   std::string usage =
-      "simengine: a stand-in for a partner's model or application engine\n\n"
-      "Usage: simengine --engine FILE --only NAME [--prefill_tokens_per_second N] [--token_milliseconds N]\n"
+      "engine_stand_in: a stand-in for a partner's model or application engine\n\n"
+      "Usage: engine_stand_in --engine FILE --only NAME [--prefill_tokens_per_second N] "
+      "[--token_milliseconds N]\n"
       "       [--transfer_bytes_per_second N] [--call_milliseconds N] [--most_running N] [--block_tokens N]\n"
-      "       [--hash_seed TEXT]\n\nExample:\n  simengine --engine fleet/engines.json --only perth-m1\n";
+      "       [--hash_seed TEXT]\n\nExample:\n  engine_stand_in --engine fleet/engines.json --only "
+      "perth-m1\n";
   auto rest = settings::parse_flags(count, arguments, usage);
-  if (!rest.empty()) settings::end_with("simengine", {rest[0], "is not expected"});
+  if (!rest.empty()) settings::end_with("engine_stand_in", {rest[0], "is not expected"});
   FILE* file = fopen(absl::GetFlag(FLAGS_engine).c_str(), "rb");
-  if (!file) settings::end_with("simengine", {"--engine", "names a file that can't be read"});
+  if (!file) settings::end_with("engine_stand_in", {"--engine", "names a file that can't be read"});
   auto list = nlohmann::json::parse(file, nullptr, false);
   fclose(file);
-  if (!list.is_array()) settings::end_with("simengine", {"--engine", "names a file that is not a JSON list"});
-  simengine::options choice;
+  if (!list.is_array())
+    settings::end_with("engine_stand_in", {"--engine", "names a file that is not a JSON list"});
+  engine_stand_in::options choice;
   for (auto& entry : list) {
     if (!entry.is_object() || entry.value("name", "") != absl::GetFlag(FLAGS_only)) continue;
     choice.name = entry["name"];
@@ -40,8 +43,9 @@
     choice.http = entry.value("address", "");
     choice.weights = entry.value("weights", "v1");
   }
-  if (choice.name.empty()) settings::end_with("simengine", {"--only", "names no engine of the file"});
-  if (!settings::is_address(choice.http)) settings::end_with("simengine", {"address", "must be ip:port"});
+  if (choice.name.empty()) settings::end_with("engine_stand_in", {"--only", "names no engine of the file"});
+  if (!settings::is_address(choice.http))
+    settings::end_with("engine_stand_in", {"address", "must be ip:port"});
   choice.prefill_tokens_per_second = absl::GetFlag(FLAGS_prefill_tokens_per_second);
   choice.token_milliseconds = absl::GetFlag(FLAGS_token_milliseconds);
   choice.transfer_bytes_per_second = absl::GetFlag(FLAGS_transfer_bytes_per_second);
@@ -49,14 +53,15 @@
   choice.most_running = choice.kind == "model" ? absl::GetFlag(FLAGS_most_running) : 16;
   choice.block_tokens = absl::GetFlag(FLAGS_block_tokens);
   choice.hash_seed = absl::GetFlag(FLAGS_hash_seed);
-  logging::start("simengine", "WARN");
+  logging::start("engine_stand_in", "WARN");
   runtime::event_loop loop("");
-  simengine::node node(loop.runtime(), choice, logging::logger(choice.name));
+  engine_stand_in::node node(loop.runtime(), choice, logging::logger(choice.name));
   int code = 0;
-  auto begin = [](simengine::node* started, runtime::event_loop* owner, int* result) -> runtime::task<> {
+  auto begin = [](engine_stand_in::node* started, runtime::event_loop* owner,
+                  int* result) -> runtime::task<> {
     auto fault = co_await started->start();
     if (!fault) co_return;
-    fprintf(stderr, "simengine: %s\n", fault->c_str());
+    fprintf(stderr, "engine_stand_in: %s\n", fault->c_str());
     *result = 1;
     owner->stop();
   };
@@ -65,7 +70,7 @@
   loop.on_notice([&] {
     if (leaving) return;
     leaving = true;
-    auto end = [](simengine::node* started, runtime::event_loop* owner) -> runtime::task<> {
+    auto end = [](engine_stand_in::node* started, runtime::event_loop* owner) -> runtime::task<> {
       co_await started->leave();
       owner->stop();
     };
--- a/src/simengine/model.cc
+++ b/src/engine_stand_in/model.cc
@@ -1,7 +1,7 @@
 // Completions at a model engine.
-#include "simengine/node_state.h"
+#include "engine_stand_in/node_state.h"
 
-namespace herontally::simengine {
+namespace herontally::engine_stand_in {
 
 microseconds pull_timeout_of(const json& transfer) {
   return transfer.value("pull_milliseconds", std::int64_t{2000}) * millisecond;
@@ -133,4 +133,4 @@
   finish_completion(out, usage, moved);
 }
 
-}  // namespace herontally::simengine
+}  // namespace herontally::engine_stand_in
--- a/src/simengine/node.cc
+++ b/src/engine_stand_in/node.cc
@@ -1,9 +1,9 @@
-#include "simengine/node.h"
+#include "engine_stand_in/node.h"
 
+#include "engine_stand_in/node_state.h"
 #include "ledger/conversation_record.h"
-#include "simengine/node_state.h"
 
-namespace herontally::simengine {
+namespace herontally::engine_stand_in {
 
 next_output token_after(const std::vector<std::int64_t>& tokens) {
   std::uint64_t hash = 1469598103934665603ull;
@@ -222,4 +222,4 @@
     http_api::reply_json(out, 404, {{"error", "no such page"}});
 }
 
-}  // namespace herontally::simengine
+}  // namespace herontally::engine_stand_in
--- a/src/simengine/node.h
+++ b/src/engine_stand_in/node.h
@@ -4,7 +4,7 @@
 #include "prefix/prefix.h"
 #include "runtime/runtime.h"
 
-namespace herontally::simengine {
+namespace herontally::engine_stand_in {
 
 struct options {
   std::string name, kind = "model", partner, serves, zone, http, weights = "v1", hash_seed = "seed";
@@ -57,4 +57,4 @@
   std::shared_ptr<state> state_;
 };
 
-}  // namespace herontally::simengine
+}  // namespace herontally::engine_stand_in
--- a/src/simengine/node_state.h
+++ b/src/engine_stand_in/node_state.h
@@ -1,12 +1,12 @@
-// Internal to simengine.
+// Internal to engine_stand_in.
 #pragma once
 #include <list>
 #include <set>
 
+#include "engine_stand_in/node.h"
 #include "http_api/responses.h"
-#include "simengine/node.h"
 
-namespace herontally::simengine {
+namespace herontally::engine_stand_in {
 
 using json = nlohmann::json;
 using runtime::microseconds;
@@ -98,4 +98,4 @@
 microseconds pull_timeout_of(const json& transfer);
 microseconds sent_of(const runtime::inbound_request& incoming);
 
-}  // namespace herontally::simengine
+}  // namespace herontally::engine_stand_in
--- a/src/simengine/transfer.cc
+++ b/src/engine_stand_in/transfer.cc
@@ -1,7 +1,7 @@
 // Lending and borrowing of blocks between model engines.
-#include "simengine/node_state.h"
+#include "engine_stand_in/node_state.h"
 
-namespace herontally::simengine {
+namespace herontally::engine_stand_in {
 
 // One line of the lender's; false when it isn't the next block that was asked for, whole and right.
 bool node::state::take_block(block_transfer& transfer, const json& line) {
@@ -119,4 +119,4 @@
   out->finish();
 }
 
-}  // namespace herontally::simengine
+}  // namespace herontally::engine_stand_in
--- a/src/hctl/commands.cc
+++ b/src/herontallyctl/commands.cc
@@ -1,11 +1,11 @@
-#include "hctl/commands.h"
+#include "herontallyctl/commands.h"
 
 #include <stdio.h>
 
 #include <fstream>
 #include <nlohmann/json.hpp>
 
-namespace herontally::hctl {
+namespace herontally::herontallyctl {
 
 using json = nlohmann::json;
 using runtime::millisecond;
@@ -13,8 +13,9 @@
 using runtime::task;
 
 std::string help() {
-  return "hctl: operates a herontally site\n\n"
-         "Usage: hctl --core IP:PORT[,IP:PORT...] [--token TOKEN] [--door IP:PORT] [--timeout SECONDS] "
+  return "herontallyctl: operates a herontally site\n\n"
+         "Usage: herontallyctl --core IP:PORT[,IP:PORT...] [--token TOKEN] [--door IP:PORT] [--timeout "
+         "SECONDS] "
          "COMMAND\n\n"
          "Commands:\n"
          "  get                        print the desired state and its version\n"
@@ -35,9 +36,9 @@
          "Exit codes: 0 done, 1 refused, 2 bad usage, 3 nothing reached, 4 another change came first,\n"
          "            5 faulty desired state, 6 result unknown\n\n"
          "Examples:\n"
-         "  hctl --core 127.0.0.1:7102 --token \"$TOKEN\" apply examples/swanreach/desired.json\n"
-         "  hctl --core 127.0.0.1:7102 --token \"$TOKEN\" evacuate perth-b\n"
-         "  hctl --core 127.0.0.1:7102 --door 127.0.0.1:7302 ledger swanreach exchange:42\n";
+         "  herontallyctl --core 127.0.0.1:7102 --token \"$TOKEN\" apply examples/swanreach/desired.json\n"
+         "  herontallyctl --core 127.0.0.1:7102 --token \"$TOKEN\" evacuate perth-b\n"
+         "  herontallyctl --core 127.0.0.1:7102 --door 127.0.0.1:7302 ledger swanreach exchange:42\n";
 }
 
 namespace {
@@ -77,7 +78,7 @@
 
 int finish(const reply& result) {
   if (result.status == 0) {
-    fprintf(stderr, "hctl: %s\n",
+    fprintf(stderr, "herontallyctl: %s\n",
             result.sent ? "the answer is lost; get the version to see" : "--core names no core that answers");
     return result.sent ? unknown : unreachable;
   }
@@ -86,12 +87,12 @@
     return done;
   }
   if (result.status == 202) {
-    fprintf(stderr, "hctl: chosen as version %s, but not yet confirmed in force\n",
+    fprintf(stderr, "herontallyctl: chosen as version %s, but not yet confirmed in force\n",
             result.body["version"].dump().c_str());
     return unknown;
   }
   std::string why = result.body.is_object() ? result.body.value("error", "") : "";
-  fprintf(stderr, "hctl: %d %s\n", result.status, why.c_str());
+  fprintf(stderr, "herontallyctl: %d %s\n", result.status, why.c_str());
   if (result.body.is_object() && result.body.contains("faults"))
     for (auto& fault : result.body["faults"])
       fprintf(stderr, "  %s: %s\n", fault.value("pointer", "").c_str(), fault.value("what", "").c_str());
@@ -104,12 +105,12 @@
 std::optional<json> read_file(const std::string& name) {
   std::ifstream stream(name);
   if (!stream) {
-    fprintf(stderr, "hctl: FILE can't be read: %s\n", name.c_str());
+    fprintf(stderr, "herontallyctl: FILE can't be read: %s\n", name.c_str());
     return std::nullopt;
   }
   auto document = json::parse(stream, nullptr, false);
   if (!document.is_object()) {
-    fprintf(stderr, "hctl: FILE is not a JSON object: %s\n", name.c_str());
+    fprintf(stderr, "herontallyctl: FILE is not a JSON object: %s\n", name.c_str());
     return std::nullopt;
   }
   return document;
@@ -146,7 +147,7 @@
 
 task<int> ledger(runtime::handle runtime, setting given, std::string partner, std::string program) {
   if (given.proxies.empty()) {
-    fprintf(stderr, "hctl: --door is missing\n");
+    fprintf(stderr, "herontallyctl: --door is missing\n");
     co_return usage;
   }
   given.cores = given.proxies;
@@ -214,11 +215,12 @@
   } else if (verb == "ledger" && count == 3) {
     co_return co_await ledger(runtime, given, arguments[1], arguments[2]);
   } else {
-    fprintf(stderr, "hctl: COMMAND is not known or has the wrong number of arguments: %s; see --help\n",
+    fprintf(stderr,
+            "herontallyctl: COMMAND is not known or has the wrong number of arguments: %s; see --help\n",
             verb.c_str());
     co_return usage;
   }
   co_return finish(result);
 }
 
-}  // namespace herontally::hctl
+}  // namespace herontally::herontallyctl
--- a/src/hctl/main.cc
+++ b/src/herontallyctl/main.cc
@@ -1,6 +1,6 @@
 #include <absl/flags/flag.h>
 
-#include "hctl/commands.h"
+#include "herontallyctl/commands.h"
 #include "runtime/event_loop.h"
 #include "settings/settings.h"
 
@@ -18,32 +18,33 @@
     auto end = std::min(text.find(',', begin), text.size());
     parts.push_back(text.substr(begin, end - begin));
     if (!settings::is_address(parts.back()))
-      settings::end_with("hctl", {flag, "must be ip:port, not \"" + parts.back() + "\""});
+      settings::end_with("herontallyctl", {flag, "must be ip:port, not \"" + parts.back() + "\""});
     begin = end + 1;
   }
   return parts;
 }
 
 int main(int count, char** arguments) {
-  auto rest = settings::parse_flags(count, arguments, hctl::help());
-  if (rest.empty()) settings::end_with("hctl", {"COMMAND", "is missing; see --help"});
-  hctl::setting given;
+  auto rest = settings::parse_flags(count, arguments, herontallyctl::help());
+  if (rest.empty()) settings::end_with("herontallyctl", {"COMMAND", "is missing; see --help"});
+  herontallyctl::setting given;
   given.cores = split(absl::GetFlag(FLAGS_core), "--core");
   given.proxies = split(absl::GetFlag(FLAGS_door), "--door");
   given.token = absl::GetFlag(FLAGS_token);
   given.timeout_seconds = absl::GetFlag(FLAGS_timeout);
   if (given.timeout_seconds <= 0 || given.timeout_seconds > 600)
-    settings::end_with("hctl", {"--timeout", "must be from 0 to 600 seconds"});
-  if (given.cores.empty() && rest[0] != "ledger") settings::end_with("hctl", {"--core", "is missing"});
+    settings::end_with("herontallyctl", {"--timeout", "must be from 0 to 600 seconds"});
+  if (given.cores.empty() && rest[0] != "ledger")
+    settings::end_with("herontallyctl", {"--core", "is missing"});
   if (absl::GetFlag(FLAGS_expect) >= 0) {
     rest.push_back("expect");
     rest.push_back(std::to_string(absl::GetFlag(FLAGS_expect)));
   }
   runtime::event_loop loop("");
   int code = 0;
-  auto work = [](runtime::event_loop* owner, hctl::setting given, std::vector<std::string> rest,
+  auto work = [](runtime::event_loop* owner, herontallyctl::setting given, std::vector<std::string> rest,
                  int* result) -> runtime::task<> {
-    *result = co_await hctl::run(owner->runtime(), given, rest);
+    *result = co_await herontallyctl::run(owner->runtime(), given, rest);
     owner->stop();
   };
   loop.runtime().spawn(work(&loop, given, rest, &code));
--- a/src/simcaller/load.cc
+++ b/src/load_generator/load.cc
@@ -1,8 +1,8 @@
-#include "simcaller/load.h"
+#include "load_generator/load.h"
 
 #include <algorithm>
 
-namespace herontally::simcaller {
+namespace herontally::load_generator {
 
 using json = nlohmann::json;
 using runtime::microseconds;
@@ -176,4 +176,4 @@
   co_return report;
 }
 
-}  // namespace herontally::simcaller
+}  // namespace herontally::load_generator
--- a/src/simcaller/load.h
+++ b/src/load_generator/load.h
@@ -5,7 +5,7 @@
 
 #include "runtime/runtime.h"
 
-namespace herontally::simcaller {
+namespace herontally::load_generator {
 
 struct options {
   std::vector<std::string> proxies;  // HTTP addresses of proxies
@@ -44,4 +44,4 @@
 // Runs the whole load and returns its report.
 runtime::task<nlohmann::json> run(runtime::handle runtime, options choice, watcher observer);
 
-}  // namespace herontally::simcaller
+}  // namespace herontally::load_generator
--- a/src/simcaller/main.cc
+++ b/src/load_generator/main.cc
@@ -1,9 +1,9 @@
 #include <absl/flags/flag.h>
 #include <stdio.h>
 
+#include "load_generator/load.h"
 #include "runtime/event_loop.h"
 #include "settings/settings.h"
-#include "simcaller/load.h"
 
 ABSL_FLAG(std::string, doors, "", "HTTP addresses of proxies, with commas between");
 ABSL_FLAG(std::string, shape, "swanreach", "swanreach or zastavica");
@@ -17,38 +17,38 @@
 int main(int count, char** arguments) {
   auto rest = settings::parse_flags(
       count, arguments,
-      "simcaller: offers a partner's traffic to proxies and reports what came back\n\n"
-      "Usage: simcaller --doors A,B,... [--shape swanreach|zastavica]\n"
+      "load_generator: offers a partner's traffic to proxies and reports what came back\n\n"
+      "Usage: load_generator --doors A,B,... [--shape swanreach|zastavica]\n"
       "       [--requests_per_second N] [--seconds N] [--crowd_at_second N] [--crowd N]\n\n"
       "The report is JSON. Exit code 1 when a stream was odd or nothing was complete.\n\n"
-      "Example:\n  simcaller --doors 127.0.0.1:7302,127.0.0.1:7304 --seconds 20\n");
-  if (!rest.empty()) settings::end_with("simcaller", {rest[0], "is not expected"});
-  simcaller::options choice;
+      "Example:\n  load_generator --doors 127.0.0.1:7302,127.0.0.1:7304 --seconds 20\n");
+  if (!rest.empty()) settings::end_with("load_generator", {rest[0], "is not expected"});
+  load_generator::options choice;
   std::string text = absl::GetFlag(FLAGS_doors);
   for (std::size_t begin = 0; begin < text.size();) {
     auto end = std::min(text.find(',', begin), text.size());
     choice.proxies.push_back(text.substr(begin, end - begin));
     if (!settings::is_address(choice.proxies.back()))
-      settings::end_with("simcaller", {"--doors", "must list ip:port"});
+      settings::end_with("load_generator", {"--doors", "must list ip:port"});
     begin = end + 1;
   }
-  if (choice.proxies.empty()) settings::end_with("simcaller", {"--doors", "is missing"});
+  if (choice.proxies.empty()) settings::end_with("load_generator", {"--doors", "is missing"});
   choice.shape = absl::GetFlag(FLAGS_shape);
   if (choice.shape != "swanreach" && choice.shape != "zastavica")
-    settings::end_with("simcaller", {"--shape", "must be swanreach or zastavica"});
+    settings::end_with("load_generator", {"--shape", "must be swanreach or zastavica"});
   choice.requests_per_second = absl::GetFlag(FLAGS_requests_per_second);
   choice.seconds = absl::GetFlag(FLAGS_seconds);
   if (choice.requests_per_second <= 0 || choice.requests_per_second > 10000)
-    settings::end_with("simcaller", {"--requests_per_second", "must be above 0 and at most 10000"});
+    settings::end_with("load_generator", {"--requests_per_second", "must be above 0 and at most 10000"});
   if (choice.seconds <= 0 || choice.seconds > 86400)
-    settings::end_with("simcaller", {"--seconds", "must be above 0"});
+    settings::end_with("load_generator", {"--seconds", "must be above 0"});
   choice.crowd_at_second = absl::GetFlag(FLAGS_crowd_at_second);
   choice.crowd = absl::GetFlag(FLAGS_crowd);
   runtime::event_loop loop("");
   int code = 0;
-  auto work = [](runtime::event_loop* owner, simcaller::options choice, int* result) -> runtime::task<> {
-    simcaller::watcher observer;
-    auto report = co_await simcaller::run(owner->runtime(), choice, observer);
+  auto work = [](runtime::event_loop* owner, load_generator::options choice, int* result) -> runtime::task<> {
+    load_generator::watcher observer;
+    auto report = co_await load_generator::run(owner->runtime(), choice, observer);
     printf("%s\n", report.dump(2).c_str());
     bool well = report["oddities"].empty() && report["turns_complete"].get<std::int64_t>() > 0;
     *result = well ? 0 : 1;
--- a/src/simcaller/requests.cc
+++ b/src/load_generator/requests.cc
@@ -1,7 +1,7 @@
 // One request, with every oddity that its client can see.
-#include "simcaller/load.h"
+#include "load_generator/load.h"
 
-namespace herontally::simcaller {
+namespace herontally::load_generator {
 
 using json = nlohmann::json;
 using runtime::microseconds;
@@ -123,4 +123,4 @@
   co_return seen;
 }
 
-}  // namespace herontally::simcaller
+}  // namespace herontally::load_generator
--- a/src/simplatform/main.cc
+++ b/src/platform_stand_in/main.cc
@@ -1,8 +1,8 @@
 #include <absl/flags/flag.h>
 
+#include "platform_stand_in/node.h"
 #include "runtime/event_loop.h"
 #include "settings/settings.h"
-#include "simplatform/node.h"
 
 ABSL_FLAG(std::string, listen, "", "ip:port to serve on");
 ABSL_FLAG(std::string, engines, "", "JSON file that lists the engines");
@@ -13,20 +13,21 @@
 
 int main(int count, char** arguments) {
   std::string usage =
-      "simplatform: a stand-in for the platform that lists engines and checks readiness\n\n"
-      "Usage: simplatform --listen IP:PORT --engines FILE [--nodes A,B,...] [--late_milliseconds N]\n\n"
-      "Example:\n  simplatform --listen 127.0.0.1:7900 --engines fleet/engines.json\n";
+      "platform_stand_in: a stand-in for the platform that lists engines and checks readiness\n\n"
+      "Usage: platform_stand_in --listen IP:PORT --engines FILE [--nodes A,B,...] [--late_milliseconds N]\n\n"
+      "Example:\n  platform_stand_in --listen 127.0.0.1:7900 --engines fleet/engines.json\n";
   auto rest = settings::parse_flags(count, arguments, usage);
-  if (!rest.empty()) settings::end_with("simplatform", {rest[0], "is not expected"});
-  simplatform::options choice;
+  if (!rest.empty()) settings::end_with("platform_stand_in", {rest[0], "is not expected"});
+  platform_stand_in::options choice;
   choice.http = absl::GetFlag(FLAGS_listen);
-  if (!settings::is_address(choice.http)) settings::end_with("simplatform", {"--listen", "must be ip:port"});
+  if (!settings::is_address(choice.http))
+    settings::end_with("platform_stand_in", {"--listen", "must be ip:port"});
   FILE* file = fopen(absl::GetFlag(FLAGS_engines).c_str(), "rb");
-  if (!file) settings::end_with("simplatform", {"--engines", "names a file that can't be read"});
+  if (!file) settings::end_with("platform_stand_in", {"--engines", "names a file that can't be read"});
   choice.engines = nlohmann::json::parse(file, nullptr, false);
   fclose(file);
   if (!choice.engines.is_array())
-    settings::end_with("simplatform", {"--engines", "names a file that is not a JSON list"});
+    settings::end_with("platform_stand_in", {"--engines", "names a file that is not a JSON list"});
   std::string nodes = absl::GetFlag(FLAGS_nodes);
   for (std::size_t begin = 0; begin < nodes.size();) {
     auto end = std::min(nodes.find(',', begin), nodes.size());
@@ -34,16 +35,18 @@
     begin = end + 1;
   }
   for (auto& address : choice.nodes)
-    if (!settings::is_address(address)) settings::end_with("simplatform", {"--nodes", "must list ip:port"});
+    if (!settings::is_address(address))
+      settings::end_with("platform_stand_in", {"--nodes", "must list ip:port"});
   choice.late_milliseconds = absl::GetFlag(FLAGS_late_milliseconds);
-  logging::start("simplatform", "WARN");
+  logging::start("platform_stand_in", "WARN");
   runtime::event_loop loop("");
-  simplatform::node node(loop.runtime(), choice, logging::logger("platform"));
+  platform_stand_in::node node(loop.runtime(), choice, logging::logger("platform"));
   int code = 0;
-  auto begin = [](simplatform::node* started, runtime::event_loop* owner, int* result) -> runtime::task<> {
+  auto begin = [](platform_stand_in::node* started, runtime::event_loop* owner,
+                  int* result) -> runtime::task<> {
     auto fault = co_await started->start();
     if (!fault) co_return;
-    fprintf(stderr, "simplatform: %s\n", fault->c_str());
+    fprintf(stderr, "platform_stand_in: %s\n", fault->c_str());
     *result = 1;
     owner->stop();
   };
--- a/src/simplatform/node.cc
+++ b/src/platform_stand_in/node.cc
@@ -1,8 +1,8 @@
-#include "simplatform/node.h"
+#include "platform_stand_in/node.h"
 
 #include "http_api/responses.h"
 
-namespace herontally::simplatform {
+namespace herontally::platform_stand_in {
 
 using json = nlohmann::json;
 using runtime::microseconds;
@@ -98,4 +98,4 @@
 
 task<> node::leave() { co_return; }
 
-}  // namespace herontally::simplatform
+}  // namespace herontally::platform_stand_in
--- a/src/simplatform/node.h
+++ b/src/platform_stand_in/node.h
@@ -3,7 +3,7 @@
 #include "logging/logging.h"
 #include "runtime/runtime.h"
 
-namespace herontally::simplatform {
+namespace herontally::platform_stand_in {
 
 struct options {
   std::string http;
@@ -29,4 +29,4 @@
   std::shared_ptr<state> state_;
 };
 
-}  // namespace herontally::simplatform
+}  // namespace herontally::platform_stand_in
--- a/src/hscale/hollow.cc
+++ b/src/scale_run/hollow.cc
@@ -1,10 +1,10 @@
-#include "hscale/hollow.h"
+#include "scale_run/hollow.h"
 
 #include "agent/node.h"
 #include "configuration/snapshot.h"
 #include "rpc/endpoint.h"
 
-namespace hscale {
+namespace scale_run {
 
 namespace rpc = herontally::rpc;
 using runtime::millisecond;
@@ -50,7 +50,7 @@
 
   static task<> begin(std::shared_ptr<state> self) {
     auto fault = co_await self->agent->start();
-    if (fault) fprintf(stderr, "hscale: %s: %s\n", self->terms.name.c_str(), fault->c_str());
+    if (fault) fprintf(stderr, "scale_run: %s: %s\n", self->terms.name.c_str(), fault->c_str());
   }
 
   // The questions of proxy's feed: same message, same waits.
@@ -130,4 +130,4 @@
 double machine::agent_value(const std::string& counter) const { return state_->agent_logger.value(counter); }
 double machine::proxy_value(const std::string& counter) const { return state_->proxy_logger.value(counter); }
 
-}  // namespace hscale
+}  // namespace scale_run
--- a/src/hscale/hollow.h
+++ b/src/scale_run/hollow.h
@@ -9,7 +9,7 @@
 #include "logging/logging.h"
 #include "runtime/runtime.h"
 
-namespace hscale {
+namespace scale_run {
 
 namespace runtime = herontally::runtime;
 namespace logging = herontally::logging;
@@ -45,4 +45,4 @@
   std::shared_ptr<state> state_;
 };
 
-}  // namespace hscale
+}  // namespace scale_run
--- a/src/hscale/main.cc
+++ b/src/scale_run/main.cc
@@ -1,14 +1,14 @@
 #include <absl/flags/flag.h>
 #include <sys/resource.h>
 
-#include "hscale/hollow.h"
 #include "runtime/event_loop.h"
+#include "scale_run/hollow.h"
 #include "settings/settings.h"
 
 ABSL_FLAG(std::string, file, "", "JSON file with the hollow machines or engines");
 ABSL_FLAG(std::string, listen, "", "ip:port that answers /count, /kill?NAME and /zone?NAME");
 
-using namespace hscale;
+using namespace scale_run;
 
 namespace {
 
@@ -88,17 +88,17 @@
 
 int main(int count, char** arguments) {
   std::string usage =
-      "hscale: hollow machines that share one process, for scale runs on loopback (see tools/scale)\n\n"
-      "Usage: hscale --file FILE --listen IP:PORT\n\n"
-      "Example:\n  hscale --file scale/machines.json --listen 127.0.0.1:7990\n";
+      "scale_run: hollow machines that share one process, for scale runs on loopback (see tools/scale)\n\n"
+      "Usage: scale_run --file FILE --listen IP:PORT\n\n"
+      "Example:\n  scale_run --file scale/machines.json --listen 127.0.0.1:7990\n";
   auto rest = herontally::settings::parse_flags(count, arguments, usage);
-  if (!rest.empty()) herontally::settings::end_with("hscale", {rest[0], "is not expected"});
+  if (!rest.empty()) herontally::settings::end_with("scale_run", {rest[0], "is not expected"});
   FILE* file = fopen(absl::GetFlag(FLAGS_file).c_str(), "rb");
-  if (!file) herontally::settings::end_with("hscale", {"--file", "names a file that can't be read"});
+  if (!file) herontally::settings::end_with("scale_run", {"--file", "names a file that can't be read"});
   auto document = json::parse(file, nullptr, false);
   fclose(file);
-  if (!document.is_object()) herontally::settings::end_with("hscale", {"--file", "names no JSON object"});
-  logging::start("hscale", "OFF");
+  if (!document.is_object()) herontally::settings::end_with("scale_run", {"--file", "names no JSON object"});
+  logging::start("scale_run", "OFF");
   runtime::event_loop loop("");
   fleet own{std::make_shared<sightings>(), {}, loop.runtime()};
   for (auto& engine : document.value("engines", json::array())) serve_engine(loop.runtime(), engine);
@@ -118,7 +118,7 @@
       [&own](runtime::inbound_request request, std::shared_ptr<runtime::http_writer> out) {
         answer(own, request, out);
       });
-  if (!served) herontally::settings::end_with("hscale", {"--listen", "can't be listened on"});
+  if (!served) herontally::settings::end_with("scale_run", {"--listen", "can't be listened on"});
   loop.run();
   own.machines.clear();
   loop.runtime().stop();
--- a/src/hsim/faults.cc
+++ b/src/simulator/faults.cc
@@ -1,8 +1,8 @@
-#include "hsim/faults.h"
+#include "simulator/faults.h"
 
-#include "hsim/faults_state.h"
+#include "simulator/faults_state.h"
 
-namespace hsim {
+namespace simulator {
 
 // Everything of ours goes at once, some of it by power; all begins again, in any order.
 void faults::state::total_loss() {
@@ -83,4 +83,4 @@
   for (auto& name : self.target.of_role("engine")) self.target.misbehave(name, "well");
 }
 
-}  // namespace hsim
+}  // namespace simulator
--- a/src/hsim/faults.h
+++ b/src/simulator/faults.h
@@ -1,8 +1,8 @@
-// Internal to hsim: the faults that a scenario draws.
+// Internal to simulator: the faults that a scenario draws.
 #pragma once
-#include "hsim/scenario.h"
+#include "simulator/scenario.h"
 
-namespace hsim {
+namespace simulator {
 
 class faults {
  public:
@@ -21,4 +21,4 @@
   std::shared_ptr<state> state_;
 };
 
-}  // namespace hsim
+}  // namespace simulator
--- a/src/hsim/faults_aimed.cc
+++ b/src/simulator/faults_aimed.cc
@@ -1,8 +1,8 @@
 // Faults that meet each other or a certain moment, and those of machines that come and go.
-#include "hsim/faults_state.h"
 #include "rpc/codec.h"
+#include "simulator/faults_state.h"
 
-namespace hsim {
+namespace simulator {
 
 // A spare is added, a machine retired, and then either all goes well, or the spare is lost on the way, or
 // another change races.
@@ -205,4 +205,4 @@
   });
 }
 
-}  // namespace hsim
+}  // namespace simulator
--- a/src/hsim/faults_site.cc
+++ b/src/simulator/faults_site.cc
@@ -1,7 +1,7 @@
 // Faults that replace, roll, reconfigure and upset parts of a site.
-#include "hsim/faults_state.h"
+#include "simulator/faults_state.h"
 
-namespace hsim {
+namespace simulator {
 
 void faults::state::replace(const std::string& role, int& count) {
   // One machine with a disk at a time, and all others whole: more is beyond what must be survived.
@@ -128,4 +128,4 @@
   });
 }
 
-}  // namespace hsim
+}  // namespace simulator
--- a/src/hsim/faults_state.h
+++ b/src/simulator/faults_state.h
@@ -1,8 +1,8 @@
-// Internal to hsim's faults.
+// Internal to simulator's faults.
 #pragma once
-#include "hsim/faults.h"
+#include "simulator/faults.h"
 
-namespace hsim {
+namespace simulator {
 
 namespace rt = herontally::runtime;
 
@@ -153,4 +153,4 @@
   void freeze_at_await();
 };
 
-}  // namespace hsim
+}  // namespace simulator
--- a/src/hsim/measure.cc
+++ b/src/simulator/measure.cc
@@ -1,16 +1,16 @@
-#include "hsim/measure.h"
+#include "simulator/measure.h"
 
 #include <stdio.h>
 
 #include <algorithm>
 #include <map>
 
-#include "hsim/scenario.h"
+#include "simulator/scenario.h"
 
-namespace hsim {
+namespace simulator {
 
 namespace rt = herontally::runtime;
-using herontally::simcaller::seen_turn;
+using herontally::load_generator::seen_turn;
 
 namespace {
 
@@ -57,9 +57,9 @@
   auto branch = [](site* own, fork_result* out, int number, int* done) -> rt::task<> {
     auto proxies = own->proxies();
     auto proxy = proxies[static_cast<std::size_t>(number) % proxies.size()];
-    auto seen = co_await herontally::simcaller::take_turn(own->callers(), proxy, "swanreach",
-                                                          "exchange:b" + std::to_string(number), "t0",
-                                                          "branch " + std::to_string(number), 16, 40);
+    auto seen = co_await herontally::load_generator::take_turn(own->callers(), proxy, "swanreach",
+                                                               "exchange:b" + std::to_string(number), "t0",
+                                                               "branch " + std::to_string(number), 16, 40);
     if (seen.end == "complete") {
       ++out->complete;
       if (number > 0) out->first.push_back(seen.first_piece_seconds);
@@ -240,4 +240,4 @@
   return names;
 }
 
-}  // namespace hsim
+}  // namespace simulator
--- a/src/hsim/measure.h
+++ b/src/simulator/measure.h
@@ -2,10 +2,10 @@
 #pragma once
 #include <string>
 
-namespace hsim {
+namespace simulator {
 
 // False when there is no measurement of that name.
 bool measure(const std::string& name);
 std::string measurement_names();
 
-}  // namespace hsim
+}  // namespace simulator
--- a/src/hsim/measure_repair.cc
+++ b/src/simulator/measure_repair.cc
@@ -2,10 +2,10 @@
 #include <stdio.h>
 
 #include "consensus/proposer.h"
-#include "hsim/measure.h"
-#include "hsim/scenario.h"
+#include "simulator/measure.h"
+#include "simulator/scenario.h"
 
-namespace hsim {
+namespace simulator {
 
 namespace rt = herontally::runtime;
 void measure_repair();
@@ -109,4 +109,4 @@
     }
 }
 
-}  // namespace hsim
+}  // namespace simulator
--- a/src/hsim/measure_site.cc
+++ b/src/simulator/measure_site.cc
@@ -3,13 +3,13 @@
 
 #include <algorithm>
 
-#include "hsim/measure.h"
-#include "hsim/scenario.h"
+#include "simulator/measure.h"
+#include "simulator/scenario.h"
 
-namespace hsim {
+namespace simulator {
 
 namespace rt = herontally::runtime;
-using herontally::simcaller::seen_turn;
+using herontally::load_generator::seen_turn;
 void measure_spread();
 void measure_join();
 void measure_roll();
@@ -48,13 +48,13 @@
     return true;
   }
   void load(double rate, double seconds, std::int64_t crowd = 0) {
-    herontally::simcaller::options traffic;
+    herontally::load_generator::options traffic;
     traffic.proxies = place.proxies();
     traffic.requests_per_second = rate;
     traffic.seconds = seconds;
     traffic.crowd = crowd;
     traffic.crowd_at_second = crowd > 0 ? 0 : -1;
-    herontally::simcaller::watcher observer;
+    herontally::load_generator::watcher observer;
     observer.turn = [this](const seen_turn& seen) {
       if (seen.end == "complete") {
         ++complete;
@@ -66,9 +66,9 @@
         refusal_seconds.push_back(seen.seconds);
       }
     };
-    place.callers().spawn([](rt::handle runtime, herontally::simcaller::options traffic,
-                             herontally::simcaller::watcher observer, bench* out) -> rt::task<> {
-      out->report = co_await herontally::simcaller::run(runtime, traffic, observer);
+    place.callers().spawn([](rt::handle runtime, herontally::load_generator::options traffic,
+                             herontally::load_generator::watcher observer, bench* out) -> rt::task<> {
+      out->report = co_await herontally::load_generator::run(runtime, traffic, observer);
       out->ended = true;
     }(place.callers(), traffic, observer, this));
   }
@@ -208,4 +208,4 @@
   }
 }
 
-}  // namespace hsim
+}  // namespace simulator
--- a/src/hsim/measure_times.cc
+++ b/src/simulator/measure_times.cc
@@ -3,10 +3,10 @@
 
 #include <algorithm>
 
-#include "hsim/measure.h"
-#include "hsim/scenario.h"
+#include "simulator/measure.h"
+#include "simulator/scenario.h"
 
-namespace hsim {
+namespace simulator {
 
 namespace rt = herontally::runtime;
 void measure_times();
@@ -26,16 +26,16 @@
 
 // Traffic that goes on until the world ends.
 void keep_busy(site& place, oracle& judge, double rate) {
-  herontally::simcaller::options traffic;
+  herontally::load_generator::options traffic;
   traffic.proxies = place.proxies();
   traffic.requests_per_second = rate;
   traffic.seconds = 60;
-  herontally::simcaller::watcher observer;
+  herontally::load_generator::watcher observer;
   observer.begin = [&judge](const auto& asked) { judge.turn_begins(asked); };
   observer.turn = [&judge](const auto& seen) { judge.turn_seen(seen); };
-  place.callers().spawn([](rt::handle runtime, herontally::simcaller::options traffic,
-                           herontally::simcaller::watcher observer) -> rt::task<> {
-    co_await herontally::simcaller::run(runtime, traffic, observer);
+  place.callers().spawn([](rt::handle runtime, herontally::load_generator::options traffic,
+                           herontally::load_generator::watcher observer) -> rt::task<> {
+    co_await herontally::load_generator::run(runtime, traffic, observer);
   }(place.callers(), traffic, observer));
 }
 
@@ -43,8 +43,8 @@
   bool done = false, complete = false;
   place.callers().spawn([](site* own, std::string name, bool* out, bool* ended) -> rt::task<> {
     auto proxies = own->proxies();
-    auto seen = co_await herontally::simcaller::take_turn(own->callers(), proxies[0], "swanreach", name, "t0",
-                                                          "hello", 8, 2);
+    auto seen = co_await herontally::load_generator::take_turn(own->callers(), proxies[0], "swanreach", name,
+                                                               "t0", "hello", 8, 2);
     *out = seen.end == "complete";
     *ended = true;
   }(&place, "exchange:" + tail, &complete, &done));
@@ -146,4 +146,4 @@
   }
 }
 
-}  // namespace hsim
+}  // namespace simulator
--- a/src/hsim/oracle.cc
+++ b/src/simulator/oracle.cc
@@ -1,11 +1,11 @@
-#include "hsim/oracle.h"
+#include "simulator/oracle.h"
 
-#include "hsim/oracle_state.h"
+#include "simulator/oracle_state.h"
 
-namespace hsim {
+namespace simulator {
 
-using herontally::simcaller::seen_call;
-using herontally::simcaller::seen_turn;
+using herontally::load_generator::seen_call;
+using herontally::load_generator::seen_turn;
 
 oracle::oracle(world& where) : state_(std::make_unique<state>(where)) {}
 oracle::~oracle() = default;
@@ -29,7 +29,7 @@
 std::string continuation(tokens before, std::int64_t most) {
   std::string text;
   for (std::int64_t made = 0; made < most; ++made) {
-    auto next = herontally::simengine::token_after(before);
+    auto next = herontally::engine_stand_in::token_after(before);
     before.push_back(next.id);
     text += next.text;
     if (next.last) break;
@@ -183,4 +183,4 @@
       {"pulls", self.pulls}, {"expired_cuts", self.expired}, {"looks", self.looks}};
 }
 
-}  // namespace hsim
+}  // namespace simulator
--- a/src/hsim/oracle.h
+++ b/src/simulator/oracle.h
@@ -4,11 +4,11 @@
 #include <nlohmann/json.hpp>
 #include <set>
 
-#include "hsim/world.h"
-#include "simcaller/load.h"
-#include "simengine/node.h"
+#include "engine_stand_in/node.h"
+#include "load_generator/load.h"
+#include "simulator/world.h"
 
-namespace hsim {
+namespace simulator {
 
 struct violation {
   std::string rule, what;
@@ -48,10 +48,10 @@
   void offer(offered_state next);
 
   // What was seen.
-  void turn_begins(const herontally::simcaller::seen_turn& asked);
-  void turn_seen(const herontally::simcaller::seen_turn& seen);
-  void call_seen(const herontally::simcaller::seen_call& seen);
-  void engine_ran(const std::string& engine, const herontally::simengine::run& what);
+  void turn_begins(const herontally::load_generator::seen_turn& asked);
+  void turn_seen(const herontally::load_generator::seen_turn& seen);
+  void call_seen(const herontally::load_generator::seen_call& seen);
+  void engine_ran(const std::string& engine, const herontally::engine_stand_in::run& what);
   // The first of our nodes, whichever, says that it knows.
   void leaving_learned(const std::string& engine);
   void acknowledged(std::int64_t marker, std::int64_t revision);
@@ -74,4 +74,4 @@
   std::unique_ptr<state> state_;
 };
 
-}  // namespace hsim
+}  // namespace simulator
--- a/src/hsim/oracle_chain.cc
+++ b/src/simulator/oracle_chain.cc
@@ -1,9 +1,9 @@
 // Which chain, which state and which keeping time a prompt at an engine speaks of.
-#include "hsim/oracle_state.h"
+#include "simulator/oracle_state.h"
 
-namespace hsim {
+namespace simulator {
 
-using herontally::simengine::run;
+using herontally::engine_stand_in::run;
 
 static void append(tokens& out, const tokens& more) { out.insert(out.end(), more.begin(), more.end()); }
 
@@ -78,4 +78,4 @@
   fail("chain", name + ": the prompt at request " + what.request_id + " is not the program's chain");
 }
 
-}  // namespace hsim
+}  // namespace simulator
--- a/src/hsim/oracle_engines.cc
+++ b/src/simulator/oracle_engines.cc
@@ -1,10 +1,10 @@
 // What the oracle makes of the engines' side.
-#include "hsim/oracle_state.h"
 #include "placement/placement.h"
+#include "simulator/oracle_state.h"
 
-namespace hsim {
+namespace simulator {
 
-using herontally::simengine::run;
+using herontally::engine_stand_in::run;
 
 void oracle::state::check_hit(const std::string& engine, const run& what) {
   auto& facts = engines[engine];
@@ -104,4 +104,4 @@
   self.check_prompt(what.key, what);
 }
 
-}  // namespace hsim
+}  // namespace simulator
--- a/src/hsim/oracle_state.h
+++ b/src/simulator/oracle_state.h
@@ -1,9 +1,9 @@
-// Internal to hsim's oracle.
+// Internal to simulator's oracle.
 #pragma once
-#include "hsim/oracle.h"
 #include "prefix/prefix.h"
+#include "simulator/oracle.h"
 
-namespace hsim {
+namespace simulator {
 
 namespace rt = herontally::runtime;
 using tokens = std::vector<std::int64_t>;
@@ -57,15 +57,15 @@
               const tokens& prefix) const;
   // The newest marker under which this prompt can have been made.
   std::int64_t marker_of(const tokens& prompt) const;
-  void check_prompt(const std::string& name, const herontally::simengine::run& what);
+  void check_prompt(const std::string& name, const herontally::engine_stand_in::run& what);
   void check_cut(const std::string& name, known_program& program, std::int64_t first,
-                 const herontally::simengine::run& what);
+                 const herontally::engine_stand_in::run& what);
   void check_state(const std::string& title, std::int64_t marker, microseconds sent);
-  void check_hit(const std::string& engine, const herontally::simengine::run& what);
-  void check_arrival(const engine_facts& engine, const herontally::simengine::run& what);
-  void check_cold(const engine_facts& engine, const herontally::simengine::run& what, const std::string& of,
-                  std::int64_t cold, std::int64_t most);
-  void check_text(const herontally::simcaller::seen_turn& seen);
+  void check_hit(const std::string& engine, const herontally::engine_stand_in::run& what);
+  void check_arrival(const engine_facts& engine, const herontally::engine_stand_in::run& what);
+  void check_cold(const engine_facts& engine, const herontally::engine_stand_in::run& what,
+                  const std::string& of, std::int64_t cold, std::int64_t most);
+  void check_text(const herontally::load_generator::seen_turn& seen);
 };
 
 tokens ids_of(const std::string& text);  // of a model's output, whose words name their ids
@@ -73,4 +73,4 @@
 // What the model gives after these tokens, up to a number of them.
 std::string continuation(tokens before, std::int64_t most);
 
-}  // namespace hsim
+}  // namespace simulator
--- a/src/hsim/probes.cc
+++ b/src/simulator/probes.cc
@@ -1,9 +1,9 @@
-#include "hsim/probes.h"
+#include "simulator/probes.h"
 
-namespace hsim {
+namespace simulator {
 
 namespace rt = herontally::runtime;
-using herontally::simcaller::seen_turn;
+using herontally::load_generator::seen_turn;
 
 static const partner_shape& served(site& place) {
   for (auto& each : place.options().partners)
@@ -20,7 +20,7 @@
   judge->turn_begins(asked);
   auto runtime = place->callers();
   auto seen =
-      co_await herontally::simcaller::take_turn(runtime, proxy, partner, program, turn, prompt, 64, 6);
+      co_await herontally::load_generator::take_turn(runtime, proxy, partner, program, turn, prompt, 64, 6);
   judge->turn_seen(seen);
   co_return seen.end == "complete";
 }
@@ -36,8 +36,8 @@
     if (!turn_done)
       turn_done = co_await ask_turn(place, judge, proxy, partner.name, name, "t0", "are you there");
     if (!call_done) {
-      auto call = co_await herontally::simcaller::make_call(runtime, proxy, partner.name,
-                                                            partner.effectful[0], name, "{}", 6);
+      auto call = co_await herontally::load_generator::make_call(runtime, proxy, partner.name,
+                                                                 partner.effectful[0], name, "{}", 6);
       judge->call_seen(call);
       call_done = call.status == 200;
     }
@@ -111,4 +111,4 @@
   return where.now();
 }
 
-}  // namespace hsim
+}  // namespace simulator
--- a/src/hsim/probes.h
+++ b/src/simulator/probes.h
@@ -1,8 +1,8 @@
 // What is asked of a site when the storm is over: does every proxy serve, is every conversation there?
 #pragma once
-#include "hsim/site.h"
+#include "simulator/site.h"
 
-namespace hsim {
+namespace simulator {
 
 // Every proxy, all at once, must serve a turn and a call within 12 s of this moment.
 void probe_proxies(site& place, oracle& judge, microseconds since, const std::string& tail);
@@ -12,4 +12,4 @@
 // again in any order within four seconds. Returns the moment of the loss.
 microseconds lose_everything(site& place, std::vector<std::string>& story, const std::set<std::string>& gone);
 
-}  // namespace hsim
+}  // namespace simulator
--- a/src/hsim/scenario.cc
+++ b/src/simulator/scenario.cc
@@ -1,16 +1,16 @@
-#include "hsim/scenario.h"
+#include "simulator/scenario.h"
 
-#include "hsim/faults.h"
-#include "hsim/probes.h"
+#include "simulator/faults.h"
+#include "simulator/probes.h"
 
-namespace hsim {
+namespace simulator {
 
 namespace rt = herontally::runtime;
-using herontally::simcaller::seen_call;
-using herontally::simcaller::seen_turn;
+using herontally::load_generator::seen_call;
+using herontally::load_generator::seen_turn;
 
-static herontally::simcaller::watcher observer_of(oracle& judge, faults* trouble) {
-  herontally::simcaller::watcher observer;
+static herontally::load_generator::watcher observer_of(oracle& judge, faults* trouble) {
+  herontally::load_generator::watcher observer;
   observer.begin = [&judge](const seen_turn& asked) { judge.turn_begins(asked); };
   observer.turn = [&judge, trouble](const seen_turn& seen) {
     judge.turn_seen(seen);
@@ -39,9 +39,9 @@
   nlohmann::json report = nlohmann::json::object();
 };
 
-static rt::task<> offer_load(rt::handle runtime, herontally::simcaller::options traffic,
-                             herontally::simcaller::watcher observer, load_run* out) {
-  auto report = co_await herontally::simcaller::run(runtime, traffic, observer);
+static rt::task<> offer_load(rt::handle runtime, herontally::load_generator::options traffic,
+                             herontally::load_generator::watcher observer, load_run* out) {
+  auto report = co_await herontally::load_generator::run(runtime, traffic, observer);
   out->report[traffic.shape] = report;
   ++out->finished;
 }
@@ -54,7 +54,7 @@
   for (auto& partner : place.options().partners) {
     if (partner.models == 0) continue;
     ++load.wanted;
-    herontally::simcaller::options traffic;
+    herontally::load_generator::options traffic;
     traffic.proxies = place.proxies();
     traffic.shape = partner.name;
     traffic.requests_per_second = choice.requests_per_second;
@@ -147,4 +147,4 @@
   return report;
 }
 
-}  // namespace hsim
+}  // namespace simulator
--- a/src/hsim/scenario.h
+++ b/src/simulator/scenario.h
@@ -1,9 +1,9 @@
 // One run from one seed: a site under traffic, faults drawn from the seed, then peace, then the oracle's
 // verdict.
 #pragma once
-#include "hsim/site.h"
+#include "simulator/site.h"
 
-namespace hsim {
+namespace simulator {
 
 struct run_options {
   std::uint64_t seed = 1;
@@ -26,4 +26,4 @@
 const std::vector<std::string>& fault_kinds();
 run_report run_scenario(const run_options& choice);
 
-}  // namespace hsim
+}  // namespace simulator
--- a/src/hsim/site.cc
+++ b/src/simulator/site.cc
@@ -1,8 +1,8 @@
-#include "hsim/site.h"
+#include "simulator/site.h"
 
-#include "hsim/site_state.h"
+#include "simulator/site_state.h"
 
-namespace hsim {
+namespace simulator {
 
 static const char* zones[] = {"zone-a", "zone-b", "zone-c"};
 
@@ -114,10 +114,11 @@
   if (spot.role == "agent") machine.node = self.start<ht::agent::node>(spot);
   if (spot.role == "proxy") machine.node = self.start<ht::proxy::node>(spot);
   if (spot.role == "engine") {
-    auto node = std::make_shared<ht::simengine::node>(self.where.runtime_of(name), spot.engine, spot.logger);
+    auto node =
+        std::make_shared<ht::engine_stand_in::node>(self.where.runtime_of(name), spot.engine, spot.logger);
     auto* judge = &self.judge;
     auto* own = state_.get();
-    node->on_run([judge, name, own](const ht::simengine::run& what) {
+    node->on_run([judge, name, own](const ht::engine_stand_in::run& what) {
       judge->engine_ran(name, what);
       auto trap = own->traps.find(what.what);
       if (trap == own->traps.end()) return;
@@ -132,16 +133,18 @@
     facts.max_concurrent = model ? self.choice.turns_per_engine : 16;
     facts.warm_seconds = model ? self.choice.warm_seconds : 1;
     judge->engine_begins(facts);
-    self.where.runtime_of(name).spawn(
-        [](std::shared_ptr<ht::simengine::node> started) -> rt::task<> { co_await started->start(); }(node));
+    self.where.runtime_of(name).spawn([](std::shared_ptr<ht::engine_stand_in::node> started) -> rt::task<> {
+      co_await started->start();
+    }(node));
     machine.node = node;
   }
   if (spot.role == "platform") {
-    ht::simplatform::options given;
+    ht::platform_stand_in::options given;
     given.http = spot.http;
     given.engines = self.engines;
-    auto node = std::make_shared<ht::simplatform::node>(self.where.runtime_of(name), given, spot.logger);
-    self.where.runtime_of(name).spawn([](std::shared_ptr<ht::simplatform::node> started) -> rt::task<> {
+    auto node =
+        std::make_shared<ht::platform_stand_in::node>(self.where.runtime_of(name), given, spot.logger);
+    self.where.runtime_of(name).spawn([](std::shared_ptr<ht::platform_stand_in::node> started) -> rt::task<> {
       co_await started->start();
     }(node));
     machine.node = node;
@@ -222,4 +225,4 @@
   return self.where.run_until([&] { return proxies_ready(); }, 20 * rt::second);
 }
 
-}  // namespace hsim
+}  // namespace simulator
--- a/src/hsim/site.h
+++ b/src/simulator/site.h
@@ -1,9 +1,9 @@
 // A whole site in the world: cores, stores, edges, engines, platform, callers and operators.
 #pragma once
-#include "hsim/oracle.h"
-#include "hsim/world.h"
+#include "simulator/oracle.h"
+#include "simulator/world.h"
 
-namespace hsim {
+namespace simulator {
 
 // A partner's part of a site.
 struct partner_shape {
@@ -91,4 +91,4 @@
   std::shared_ptr<state> state_;
 };
 
-}  // namespace hsim
+}  // namespace simulator
--- a/src/hsim/site_engines.cc
+++ b/src/simulator/site_engines.cc
@@ -1,7 +1,7 @@
 // A site's engines, the platform that lists them, and its warning before it stops a process.
-#include "hsim/site_state.h"
+#include "simulator/site_state.h"
 
-namespace hsim {
+namespace simulator {
 
 std::string site::add_engine(const partner_shape& of, const std::string& kind, const std::string& zone,
                              const std::string& weights) {
@@ -33,7 +33,8 @@
 
 void site::state::show_engines() {
   auto& machine = where.find("platform");
-  if (machine.up) std::any_cast<std::shared_ptr<ht::simplatform::node>>(machine.node)->set_engines(engines);
+  if (machine.up)
+    std::any_cast<std::shared_ptr<ht::platform_stand_in::node>>(machine.node)->set_engines(engines);
 }
 
 void site::remove_engine(const std::string& name) {
@@ -77,14 +78,14 @@
 void site::upset_platform(bool silent, double late_milliseconds) {
   auto& machine = state_->where.find("platform");
   if (!machine.up) return;
-  auto node = std::any_cast<std::shared_ptr<ht::simplatform::node>>(machine.node);
+  auto node = std::any_cast<std::shared_ptr<ht::platform_stand_in::node>>(machine.node);
   node->upset(silent, late_milliseconds);
 }
 
 void site::misbehave(const std::string& engine, const std::string& how) {
   auto& machine = state_->where.find(engine);
   if (machine.up && state_->places.contains(engine))
-    std::any_cast<std::shared_ptr<ht::simengine::node>>(machine.node)->behave(how);
+    std::any_cast<std::shared_ptr<ht::engine_stand_in::node>>(machine.node)->behave(how);
 }
 
 void site::speak(const std::string& name, int version) { state_->versions[name] = version; }
@@ -117,4 +118,4 @@
   self.where.at(self.where.now() + 3 * rt::second, end);
 }
 
-}  // namespace hsim
+}  // namespace simulator
--- a/src/hsim/site_operators.cc
+++ b/src/simulator/site_operators.cc
@@ -1,7 +1,7 @@
 // The operators' side of a simulated site.
-#include "hsim/site_state.h"
+#include "simulator/site_state.h"
 
-namespace hsim {
+namespace simulator {
 
 offered_state site::offered(std::int64_t marker) const {
   auto& choice = state_->choice;
@@ -162,4 +162,4 @@
   }
 }
 
-}  // namespace hsim
+}  // namespace simulator
--- a/src/hsim/site_state.h
+++ b/src/simulator/site_state.h
@@ -1,13 +1,13 @@
-// Internal to hsim's site.
+// Internal to simulator's site.
 #pragma once
 #include "agent/node.h"
 #include "control_node/node.h"
-#include "hsim/site.h"
+#include "platform_stand_in/node.h"
 #include "proxy/node.h"
-#include "simplatform/node.h"
+#include "simulator/site.h"
 #include "storage_node/node.h"
 
-namespace hsim {
+namespace simulator {
 
 namespace ht = herontally;
 namespace rt = herontally::runtime;
@@ -15,7 +15,7 @@
 
 struct place {
   std::string name, role, zone, inner, http, agent;
-  ht::simengine::options engine;
+  ht::engine_stand_in::options engine;
   ht::logging::logger logger;
 };
 
@@ -45,4 +45,4 @@
 
 constexpr const char* operator_token = "operator-token";
 
-}  // namespace hsim
+}  // namespace simulator
--- a/src/hsim/world.cc
+++ b/src/simulator/world.cc
@@ -1,8 +1,8 @@
-#include "hsim/world.h"
+#include "simulator/world.h"
 
-#include "hsim/world_state.h"
+#include "simulator/world_state.h"
 
-namespace hsim {
+namespace simulator {
 
 world::world(std::uint64_t seed) : state_(std::make_shared<state>()) { state_->random.seed(seed); }
 
@@ -184,4 +184,4 @@
   for (auto& [from, to] : all) heal(from, to);
 }
 
-}  // namespace hsim
+}  // namespace simulator
--- a/src/hsim/world.h
+++ b/src/simulator/world.h
@@ -7,7 +7,7 @@
 
 #include "runtime/runtime.h"
 
-namespace hsim {
+namespace simulator {
 
 using herontally::runtime::microseconds;
 
@@ -91,4 +91,4 @@
   std::shared_ptr<state> state_;
 };
 
-}  // namespace hsim
+}  // namespace simulator
--- a/src/hsim/world_disk.cc
+++ b/src/simulator/world_disk.cc
@@ -1,7 +1,7 @@
 // Disks that forget what was not synced, tear it, fill up, fail, and lose power at a chosen operation.
-#include "hsim/world_state.h"
+#include "simulator/world_state.h"
 
-namespace hsim {
+namespace simulator {
 
 // True when the power has gone: nothing reaches the disk any more and nothing is answered.
 static bool power_gone(sim_disk& disk) {
@@ -122,4 +122,4 @@
   for (auto& name : vanished) disk.files.erase(name);
 }
 
-}  // namespace hsim
+}  // namespace simulator
--- a/src/hsim/world_http.cc
+++ b/src/simulator/world_http.cc
@@ -1,7 +1,7 @@
 // The client's side of HTTP exchanges in the world: requests on their way to a server.
-#include "hsim/world_http.h"
+#include "simulator/world_http.h"
 
-namespace hsim {
+namespace simulator {
 
 static bool is_over(const http_exchange& exchange) { return exchange.client_closed || exchange.ended; }
 
@@ -173,4 +173,4 @@
   }
 }
 
-}  // namespace hsim
+}  // namespace simulator
--- a/src/hsim/world_http.h
+++ b/src/simulator/world_http.h
@@ -1,8 +1,8 @@
-// Internal to hsim: one HTTP exchange between two machines of the world.
+// Internal to simulator: one HTTP exchange between two machines of the world.
 #pragma once
-#include "hsim/world_state.h"
+#include "simulator/world_state.h"
 
-namespace hsim {
+namespace simulator {
 
 struct http_exchange {
   std::uint64_t number = 0;
@@ -27,4 +27,4 @@
 std::shared_ptr<rt::http_writer> make_writer(std::weak_ptr<world::state> weak,
                                              std::shared_ptr<http_exchange> exchange);
 
-}  // namespace hsim
+}  // namespace simulator
--- a/src/hsim/world_http_writer.cc
+++ b/src/simulator/world_http_writer.cc
@@ -1,7 +1,7 @@
 // The server's side of HTTP exchanges in the world: answers on their way to the client.
-#include "hsim/world_http.h"
+#include "simulator/world_http.h"
 
-namespace hsim {
+namespace simulator {
 
 void tell_gone(const std::shared_ptr<http_exchange>& exchange) {
   exchange->server_knows = true;
@@ -93,4 +93,4 @@
   return writer;
 }
 
-}  // namespace hsim
+}  // namespace simulator
--- a/src/hsim/world_net.cc
+++ b/src/simulator/world_net.cc
@@ -1,7 +1,7 @@
 // Links, and inner messages over them.
-#include "hsim/world_state.h"
+#include "simulator/world_state.h"
 
-namespace hsim {
+namespace simulator {
 
 microseconds world::state::latency() {
   auto span = static_cast<std::uint64_t>(net.most - net.least + 1);
@@ -155,4 +155,4 @@
   }
 }
 
-}  // namespace hsim
+}  // namespace simulator
--- a/src/hsim/world_state.h
+++ b/src/simulator/world_state.h
@@ -1,11 +1,11 @@
-// Internal to hsim: events, links and the making of a runtime for one life of a machine.
+// Internal to simulator: events, links and the making of a runtime for one life of a machine.
 #pragma once
 #include <queue>
 #include <unordered_set>
 
-#include "hsim/world.h"
+#include "simulator/world.h"
 
-namespace hsim {
+namespace simulator {
 
 namespace rt = herontally::runtime;
 
@@ -60,4 +60,4 @@
   void lose(struct machine& self, disk_loss loss);
 };
 
-}  // namespace hsim
+}  // namespace simulator
--- a/tests/bad_input.py
+++ b/tests/bad_input.py
@@ -133,7 +133,7 @@
     good.update(spoiled)
     json.dump(good, open(settings, "w"))
     program_says([build + "/control_node", "--settings", settings], 2, field)
-for name in ("control_node", "storage_node", "agent", "proxy", "simengine", "simplatform", "simcaller", "hctl", "htrace", "hsim"):
+for name in ("control_node", "storage_node", "agent", "proxy", "engine_stand_in", "platform_stand_in", "load_generator", "herontallyctl", "config_trace", "simulator"):
     program_says([build + "/" + name, "--no-such-flag"], 2, "no-such-flag")
     helped = subprocess.run([build + "/" + name, "--help"], stdout=subprocess.PIPE, timeout=20)
     assert helped.returncode == 0 and b"Usage" in helped.stdout, name
--- a/tests/configuration_test.cc
+++ b/tests/configuration_test.cc
@@ -5,8 +5,8 @@
 #include "config_distribution/freshness.h"
 #include "configuration/cron.h"
 #include "configuration/snapshot.h"
-#include "hsim/world.h"
 #include "settings/settings.h"
+#include "simulator/world.h"
 
 using namespace herontally;
 using nlohmann::json;
@@ -169,7 +169,7 @@
 
 TEST_CASE(
     "freshness follows from a core's word or from a majority of the listed edges, joint sets included") {
-  hsim::world world(1);
+  simulator::world world(1);
   world.machine("m", "z");
   world.boot("m");
   auto runtime = world.runtime_of("m");
--- a/tests/consensus_test.cc
+++ b/tests/consensus_test.cc
@@ -50,7 +50,7 @@
       site.world.run_for(static_cast<runtime::microseconds>(site.world.draw(300000)));
       auto victim = "s" + std::to_string(1 + site.world.draw(3));
       if (site.world.draw(2)) {
-        site.world.kill(victim, hsim::disk_loss::unsynced, true);
+        site.world.kill(victim, simulator::disk_loss::unsynced, true);
         site.world.run_for(static_cast<runtime::microseconds>(site.world.draw(400000)));
         site.boot(victim);
       } else {
@@ -107,8 +107,8 @@
   site.world.cut("w", "s3");
   auto written = site.run("w", writer.change("k", set_to("precious"), site.deadline("w", 3 * second)));
   REQUIRE(written.status == consensus::change_status::committed);
-  site.world.kill("s1", hsim::disk_loss::none);
-  site.world.kill("s2", hsim::disk_loss::all, true);
+  site.world.kill("s1", simulator::disk_loss::none);
+  site.world.kill("s2", simulator::disk_loss::all, true);
   site.boot("s2");
   site.world.heal("w", "s3");
   auto blind = site.run("w", writer.read("k", site.deadline("w", 2 * second)));
@@ -134,7 +134,7 @@
     site.run("w",
              writer.change(reconfiguration::view_register_key("store"), lay, site.deadline("w", 3 * second)));
     std::string lost = "s" + std::to_string(1 + seed % 3);
-    site.world.kill(lost, hsim::disk_loss::all, true);
+    site.world.kill(lost, simulator::disk_loss::all, true);
     std::string leaving;
     for (auto& place : first.voters)
       if (place.node == lost) leaving = place.id;
@@ -149,7 +149,7 @@
     REQUIRE(site.voters["s4"]->content("d1") == "body");
     // A second loss right after the move is survived by what the newcomer holds.
     std::string second_lost = lost == "s1" ? "s2" : "s1";
-    site.world.kill(second_lost, hsim::disk_loss::all, true);
+    site.world.kill(second_lost, simulator::disk_loss::all, true);
     auto now = site.run("w", writer.read("k7", site.deadline("w", 5 * second)));
     REQUIRE(now.value == "v7");
   }
@@ -178,7 +178,7 @@
 TEST_CASE("what a voter missed is handed over to it by the others") {
   group site(4);
   auto writer = site.begin();
-  site.world.kill("s3", hsim::disk_loss::none);
+  site.world.kill("s3", simulator::disk_loss::none);
   for (int each = 0; each < 10; ++each)
     site.run("w", writer.change("k" + std::to_string(each), set_to("v"), site.deadline("w", 3 * second)));
   site.boot("s3");
--- a/tests/control_catch_up_test.cc
+++ b/tests/control_catch_up_test.cc
@@ -38,7 +38,8 @@
     }
     return;
   }
-  site.world.kill("c3", how == absence::disk_lost ? hsim::disk_loss::all : hsim::disk_loss::none, true);
+  site.world.kill("c3", how == absence::disk_lost ? simulator::disk_loss::all : simulator::disk_loss::none,
+                  true);
 }
 
 void come_back(control_site& site, absence how) {
@@ -66,7 +67,7 @@
   }
   site.world.run_for(2200 * millisecond);
   // The next loss, 4.2 s after the return, leaves it as half of the majority.
-  site.world.kill("c1", hsim::disk_loss::all, true);
+  site.world.kill("c1", simulator::disk_loss::all, true);
   CHECK(site.status("c3", "GET", "/-/config/read") == 200);
   CHECK(site.ask("c3", "GET", "/-/config/read").body == newest);
   CHECK(site.status("c2", "POST", "/-/config/replace", table_of(missed, missed.changes + 1),
--- a/tests/control_cost_test.cc
+++ b/tests/control_cost_test.cc
@@ -4,8 +4,8 @@
 
 #include "agent/node.h"
 #include "control_node/node.h"
-#include "hsim/world.h"
 #include "membership/member_list.h"
+#include "simulator/world.h"
 
 using namespace herontally;
 using runtime::millisecond;
@@ -14,7 +14,7 @@
 namespace {
 
 struct table_fleet {
-  hsim::world world{5};
+  simulator::world world{5};
   std::vector<std::string> seeds;
   std::map<std::string, std::shared_ptr<membership::member_list>> nodes;
   std::map<std::string, logging::logger> lines;
@@ -54,8 +54,8 @@
 };
 
 template <class Request>
-std::optional<typename Request::reply> ask(hsim::world& world, rpc::endpoint endpoint, std::string address,
-                                           Request request) {
+std::optional<typename Request::reply> ask(simulator::world& world, rpc::endpoint endpoint,
+                                           std::string address, Request request) {
   std::optional<typename Request::reply> result;
   bool done = false;
   auto work = [](rpc::endpoint from, std::string to, Request words,
@@ -70,7 +70,7 @@
 }
 
 struct one_node {
-  hsim::world world{3};
+  simulator::world world{3};
   settings::settings place;
   rpc::endpoint endpoint;
   one_node() : endpoint(boot_asker(world), "asker", logging::logger("asker", [](auto&, auto&) {})) {
@@ -83,7 +83,7 @@
     place.seeds = {"10.0.0.1:7000", "10.0.0.8:7000", "10.0.0.9:7000"};
     place.platform = "10.0.0.7:7000";
   }
-  static runtime::handle boot_asker(hsim::world& world) {
+  static runtime::handle boot_asker(simulator::world& world) {
     world.machine("asker", "z");
     world.boot("asker");
     return world.runtime_of("asker");
@@ -118,7 +118,7 @@
 TEST_CASE("nodes of this version and the one before find and lose each other") {
   table_fleet site(20, [](int number) { return number % 2 ? rpc::protocol_version - 1 : 0; });
   REQUIRE(site.world.run_until([&] { return site.agree(20); }, 3 * second));
-  site.world.kill("n7", hsim::disk_loss::none, true);
+  site.world.kill("n7", simulator::disk_loss::none, true);
   REQUIRE(site.world.run_until([&] { return site.agree(19); }, 8 * second));
 }
 
--- a/tests/control_site_fixture.h
+++ b/tests/control_site_fixture.h
@@ -3,8 +3,8 @@
 #include <catch2/catch.hpp>
 
 #include "control_node/node.h"
-#include "hsim/world.h"
 #include "platform/operator_calls.h"
+#include "simulator/world.h"
 #include "storage_node/node.h"
 
 namespace herontally::tests {
@@ -14,7 +14,7 @@
 using runtime::second;
 
 struct control_site {
-  hsim::world world;
+  simulator::world world;
   std::shared_ptr<platform_protocol::adapter> words = std::make_shared<platform_protocol::adapter>();
   std::map<std::string, std::vector<std::string>> lines;  // what each node logged, over all its lives
   std::vector<std::string> asked;                         // of the platform's list
--- a/tests/control_test.cc
+++ b/tests/control_test.cc
@@ -23,7 +23,7 @@
     site.boot_all();
     REQUIRE(site.world.run_until([&] { return site.logged("view installed") > step % 3; }, 20 * second));
     site.world.run_for(step * 150);
-    auto loss = step % 2 ? hsim::disk_loss::none : hsim::disk_loss::unsynced;
+    auto loss = step % 2 ? simulator::disk_loss::none : simulator::disk_loss::unsynced;
     site.world.kill("c1", loss, true);
     site.world.run_for(4 * second);
     // A view that only the dead one has can't be told from none: the others wait for it to come back with
@@ -101,7 +101,7 @@
   site.boot_all();
   REQUIRE(site.status("c1", "POST", "/-/config/replace", site.table(5), "0") == 200);
   REQUIRE(site.status("c2", "POST", "/-/evacuation/z1/begin") == 200);
-  for (auto name : {"c1", "c2", "c3"}) site.world.kill(name, hsim::disk_loss::unsynced, true);
+  for (auto name : {"c1", "c2", "c3"}) site.world.kill(name, simulator::disk_loss::unsynced, true);
   for (auto name : {"c1", "c2", "c3"}) site.boot_core(name, false);
   CHECK(site.status("c3", "GET", "/-/config/read") == 200);
   CHECK(site.ask("c3", "GET", "/-/config/read").body == site.table(5));
@@ -178,7 +178,7 @@
   site.boot_all();
   REQUIRE(site.status("c1", "POST", "/-/config/replace", site.table(5), "0") == 200);
   site.world.run_for(8 * second);
-  site.world.kill("s3", hsim::disk_loss::all);
+  site.world.kill("s3", simulator::disk_loss::all);
   site.world.run_for(second);
   site.boot_store("s4");
   // The users count on the newcomer 4.2 s after it came.
--- a/tests/fleet_failures.py
+++ b/tests/fleet_failures.py
@@ -109,7 +109,7 @@
     """Each back end is asked for its own memory of each key: over all of them, one run at the most."""
     for key in keys:
         runs = 0
-        for name, node in nodes("simengine").items():
+        for name, node in nodes("engine_stand_in").items():
             if name.startswith(model):
                 continue
             status, text = http(node["http"], "GET", "/v1/outcome", headers={"Idempotency-Key": key}, timeout=2)
@@ -119,7 +119,7 @@
 
 def load(seconds):
     out = folder + "/load.json"
-    process = subprocess.Popen([build + "/simcaller", "--doors", ",".join(doors()), "--shape", site, "--seconds",
+    process = subprocess.Popen([build + "/load_generator", "--doors", ",".join(doors()), "--shape", site, "--seconds",
                                 str(seconds), "--requests_per_second", "6"], stdout=open(out, "w"))
 
     def end():
@@ -197,7 +197,7 @@
 
 status, _ = core_says("PUT", "/v1/zones/%s/evacuation" % zone)
 assert status == 200, status
-inside = [node["http"] for node in nodes("simengine").values() if node["zone"] == zone]
+inside = [node["http"] for node in nodes("engine_stand_in").values() if node["zone"] == zone]
 
 
 def metric(address, name):
@@ -218,7 +218,7 @@
 
 report = end_load()
 platform = nodes()["platform"]["http"]
-for name in [name for name, node in nodes("simengine").items() if name.startswith(model)][:6]:
+for name in [name for name, node in nodes("engine_stand_in").items() if name.startswith(model)][:6]:
     assert http(platform, "POST", "/v1/engines/%s/leave" % name, {})[0] == 200
     until(name + " is known to leave",
           lambda: any(each["name"] == name and each["state"] == "leaving" for each in json.loads(core_says("GET", "/v1/engines")[1])["engines"]))
--- a/tests/fleet_smoke.sh
+++ b/tests/fleet_smoke.sh
@@ -17,25 +17,25 @@
 
 fleet up "$site" --edges 3 --log_level WARN
 eval "$(fleet env)"
-"$build/simcaller" --doors "$DOORS" --shape "$site" --seconds 4 --requests_per_second 10 > "$folder/calm.json"
+"$build/load_generator" --doors "$DOORS" --shape "$site" --seconds 4 --requests_per_second 10 > "$folder/calm.json"
 
 python3 "$root/tests/bad_input.py" "$folder" "$build"
-hctl() { "$build/hctl" --core "$CORE" --token "$TOKEN" "$@"; }
+herontallyctl() { "$build/herontallyctl" --core "$CORE" --token "$TOKEN" "$@"; }
 zone=$(fleet status | awk '$1 == "core-2" { print $3 }')
 echo '{"shared": {"limits": {"queue_seconds": 4}}}' > "$folder/patch.json"
-hctl patch "$folder/patch.json" > "$folder/patched"
-hctl get | grep -q '"queue_seconds": 4'
-if hctl patch "$folder/patch.json" --expect 1 2> "$folder/stale"; then exit 1; else test $? = 4; fi
-hctl evacuate "$zone" > /dev/null
-hctl get | grep -q "$zone"
-hctl return "$zone" > /dev/null
+herontallyctl patch "$folder/patch.json" > "$folder/patched"
+herontallyctl get | grep -q '"queue_seconds": 4'
+if herontallyctl patch "$folder/patch.json" --expect 1 2> "$folder/stale"; then exit 1; else test $? = 4; fi
+herontallyctl evacuate "$zone" > /dev/null
+herontallyctl get | grep -q "$zone"
+herontallyctl return "$zone" > /dev/null
 
-"$build/simcaller" --doors "$DOORS" --shape "$site" --seconds 12 --requests_per_second 10 > "$folder/storm.json" &
+"$build/load_generator" --doors "$DOORS" --shape "$site" --seconds 12 --requests_per_second 10 > "$folder/storm.json" &
 load=$!
 for node in core-1 store-2 agent-3 door-2; do
   fleet kill "$node"
 done
-engine=$(fleet status | awk '$2 == "simengine" { print $1; exit }' || true)
+engine=$(fleet status | awk '$2 == "engine_stand_in" { print $1; exit }' || true)
 fleet kill "$engine"
 for node in core-1 store-2 agent-3 door-2 "$engine"; do
   fleet start "$node"
@@ -59,6 +59,6 @@
   if fleet status > "$folder/status"; then break; fi
   if [ "$tries" = 100 ]; then fleet status; exit 1; fi
 done
-"$build/htrace" --seeds "$SEEDS"
+"$build/config_trace" --seeds "$SEEDS"
 fleet stop "$engine"
 echo "fleet of $site: whole again"
--- a/tests/log_store_fixture.h
+++ b/tests/log_store_fixture.h
@@ -2,7 +2,7 @@
 #pragma once
 #include <catch2/catch.hpp>
 
-#include "hsim/world.h"
+#include "simulator/world.h"
 #include "storage/log_store.h"
 
 namespace herontally::tests {
@@ -15,7 +15,7 @@
 }
 
 struct log_store_fixture {
-  hsim::world world;
+  simulator::world world;
   storage::log_store_options choice;
   logging::logger logger{"m", [](auto&, auto&) {}};
   std::optional<storage::log_store> store;
@@ -26,11 +26,11 @@
     choice.in_memory = [](const std::string&, std::size_t bytes) { return bytes < 16; };
     world.machine("m", "z");
   }
-  hsim::sim_disk& disk() { return world.find("m").disk; }
+  simulator::sim_disk& disk() { return world.find("m").disk; }
   // A new process on the disk as it stands.
   std::optional<storage::error> start() {
     store.reset();
-    if (world.find("m").up) world.kill("m", hsim::disk_loss::none);
+    if (world.find("m").up) world.kill("m", simulator::disk_loss::none);
     world.boot("m");
     store.emplace(world.runtime_of("m"), choice, logger);
     return store->recover();
@@ -66,7 +66,7 @@
     return found;
   }
   // The place of this text in the files; the current one of each slot or log.
-  hsim::sim_file* file_with(const std::string& text) {
+  simulator::sim_file* file_with(const std::string& text) {
     for (auto& [name, file] : disk().files)
       if (file.current.find(text) != std::string::npos) return &file;
     return nullptr;
--- a/tests/membership_change_test.cc
+++ b/tests/membership_change_test.cc
@@ -102,7 +102,7 @@
     REQUIRE(site.run("w", reconfiguration::install_chosen(writer, joint, site.deadline("w", 3 * second))));
     site.run("w", writer.change("k1", set_to("joint"), site.deadline("w", 3 * second)));
     // The joining voter is gone for good, before it fetched anything.
-    site.world.kill("s4", hsim::disk_loss::all, true);
+    site.world.kill("s4", simulator::disk_loss::all, true);
     REQUIRE_FALSE(
         site.run("w", reconfiguration::finish_move(writer, writer, site.deadline("w", 3 * second))));
     auto amended = begin(site, writer, {"s1", "s2", back ? "s3" : "s5"});
@@ -111,7 +111,7 @@
     REQUIRE_FALSE(writer.current_view().joint());
     REQUIRE(writer.current_view().includes(site.voters[back ? "s3" : "s5"]->id()));
     // And a second loss right after it is borne.
-    site.world.kill("s1", hsim::disk_loss::all, true);
+    site.world.kill("s1", simulator::disk_loss::all, true);
     for (int each = 0; each < 20; ++each) {
       auto now = site.run("w", writer.read("k" + std::to_string(each), site.deadline("w", 5 * second)));
       REQUIRE(now.value == (each == 1 ? "joint" : "v" + std::to_string(each)));
@@ -127,8 +127,8 @@
   begin(site, writer, {"s1", "s2", "s3", "s4", "s5"});
   REQUIRE(site.run("w", reconfiguration::finish_move(writer, writer, site.deadline("w", 5 * second))));
   REQUIRE(writer.current_view().voters.size() == 5);
-  site.world.kill("s1", hsim::disk_loss::all, true);
-  site.world.kill("s2", hsim::disk_loss::all, true);
+  site.world.kill("s1", simulator::disk_loss::all, true);
+  site.world.kill("s2", simulator::disk_loss::all, true);
   for (int each = 0; each < 20; ++each) {
     auto now = site.run("w", writer.read("k" + std::to_string(each), site.deadline("w", 5 * second)));
     REQUIRE(now.value == "v" + std::to_string(each));
@@ -148,7 +148,7 @@
   begin(site, writer, {"s1", "s2", "s3"});
   REQUIRE(site.run("w", reconfiguration::finish_move(writer, writer, site.deadline("w", 5 * second))));
   REQUIRE(writer.current_view().voters.size() == 3);
-  site.world.kill("s2", hsim::disk_loss::all, true);
+  site.world.kill("s2", simulator::disk_loss::all, true);
   for (int each = 0; each < 20; ++each) {
     auto now = site.run("w", writer.read("k" + std::to_string(each), site.deadline("w", 5 * second)));
     REQUIRE(now.value == "v" + std::to_string(each));
@@ -199,7 +199,7 @@
   REQUIRE(written.status == consensus::change_status::committed);
   site.world.heal_all();
   site.world.run_for(5 * second);
-  site.world.kill("s1", hsim::disk_loss::none);
+  site.world.kill("s1", simulator::disk_loss::none);
   auto now = site.run("w", writer.read("k", site.deadline("w", 5 * second)));
   REQUIRE(now.value == "second");
 }
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -1,15 +1,15 @@
 // Membership: nodes find each other from seeds, lose the dead and keep the living.
 #include <catch2/catch.hpp>
 
-#include "hsim/world.h"
 #include "membership/member_list.h"
+#include "simulator/world.h"
 
 using namespace herontally;
 
 namespace {
 
 struct fleet {
-  hsim::world world;
+  simulator::world world;
   std::map<std::string, std::shared_ptr<membership::member_list>> nodes;
   std::vector<std::string> seeds;
   explicit fleet(std::uint64_t seed) : world(seed) {}
@@ -60,7 +60,7 @@
     fleet site(seed);
     site.boot_all(12);
     REQUIRE(site.world.run_until([&] { return site.agree(12); }, 3 * runtime::second));
-    site.world.kill("n7", hsim::disk_loss::none, true);
+    site.world.kill("n7", simulator::disk_loss::none, true);
     REQUIRE(site.world.run_until([&] { return site.agree(11); }, 8 * runtime::second));
     site.boot(7);
     REQUIRE(site.world.run_until([&] { return site.agree(12); }, 4 * runtime::second));
--- a/tests/model/clients.h
+++ b/tests/model/clients.h
@@ -3,15 +3,15 @@
 #include <map>
 
 #include "consensus/proposer.h"
-#include "hsim/world.h"
 #include "model/history.h"
 #include "model/plan.h"
+#include "simulator/world.h"
 
 namespace herontally::model {
 
 // What all clients of a run share.
 struct client_context {
-  hsim::world* world = nullptr;
+  simulator::world* world = nullptr;
   std::vector<std::string> addresses;
   std::vector<std::string> storage_names;
   int keys = 1;
--- a/tests/model/cluster.cc
+++ b/tests/model/cluster.cc
@@ -24,12 +24,12 @@
 
 }  // namespace
 
-rpc::endpoint make_port(hsim::world& world, const std::string& machine) {
+rpc::endpoint make_port(simulator::world& world, const std::string& machine) {
   auto silent = [](auto&, auto&) {};
   return rpc::endpoint(world.runtime_of(machine), machine, logging::logger(machine, silent));
 }
 
-cluster::cluster(hsim::world& world, const run_options& options) : world_(world) {
+cluster::cluster(simulator::world& world, const run_options& options) : world_(world) {
   for (int number = 1; number <= options.voters + options.spares; ++number) {
     std::string name = group_name + std::to_string(number);
     names_.push_back(name);
@@ -76,14 +76,14 @@
   runtime.spawn(repair(machine.voter));
 }
 
-void cluster::kill(const std::string& name, hsim::disk_loss loss) {
+void cluster::kill(const std::string& name, simulator::disk_loss loss) {
   auto& machine = machines_.at(name);
   if (!world_.find(name).up) return;
-  if (loss == hsim::disk_loss::all) {
+  if (loss == simulator::disk_loss::all) {
     lost_identities_->insert(machine.voter->id());
     if (!relies_on(name)) spare_losses_.push_back(world_.now());
   }
-  bool silent = loss != hsim::disk_loss::none;
+  bool silent = loss != simulator::disk_loss::none;
   world_.kill(name, loss, silent);
 }
 
--- a/tests/model/cluster.h
+++ b/tests/model/cluster.h
@@ -4,9 +4,9 @@
 #include <memory>
 #include <set>
 
-#include "hsim/world.h"
 #include "model/plan.h"
 #include "replication/voter.h"
+#include "simulator/world.h"
 
 namespace herontally::model {
 
@@ -22,7 +22,7 @@
 
 class cluster {
  public:
-  cluster(hsim::world& world, const run_options& options);
+  cluster(simulator::world& world, const run_options& options);
   std::vector<std::string> addresses() const;
   std::vector<std::string> storage_names() const;
   storage_machine& storage(const std::string& name);
@@ -30,7 +30,7 @@
   std::vector<consensus::voter_info> founders(int count) const;
 
   void boot(const std::string& name);
-  void kill(const std::string& name, hsim::disk_loss loss);
+  void kill(const std::string& name, simulator::disk_loss loss);
   // Whether the group must bear the loss of this machine together with what it suffers already: fewer than
   // half of each voter set that may be relied on.
   bool may_lose(const std::string& name) const;
@@ -53,7 +53,7 @@
   std::map<std::int64_t, std::vector<consensus::view>> views_seen() const;
   std::vector<consensus::view> relied_on() const;
 
-  hsim::world& world_;
+  simulator::world& world_;
   std::vector<std::string> names_;
   std::map<std::string, storage_machine> machines_;
   // Identities whose disk is gone; shared with the tasks that open voters.
@@ -62,6 +62,6 @@
   std::vector<runtime::microseconds> spare_losses_;
 };
 
-rpc::endpoint make_port(hsim::world& world, const std::string& machine);
+rpc::endpoint make_port(simulator::world& world, const std::string& machine);
 
 }  // namespace herontally::model
--- a/tests/model/injector.cc
+++ b/tests/model/injector.cc
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-injector::injector(hsim::world& world, cluster& group, std::vector<std::string> clients,
+injector::injector(simulator::world& world, cluster& group, std::vector<std::string> clients,
                    std::function<void(const std::string&)> start_client)
     : world_(world), group_(group), clients_(std::move(clients)), start_client_(std::move(start_client)) {
   world_.net().most_extra = most_extra_delay;
@@ -139,13 +139,15 @@
     host.disk.crash_after = 1 + static_cast<int>(each.pick / 64 % writes_until_power_loss);
     machine.losing_power = true;
     return after(each, outage, [this, name, restart] {
-      group_.kill(name, hsim::disk_loss::unsynced);
+      group_.kill(name, simulator::disk_loss::unsynced);
       world_.find(name).disk.crash_after = -1;
       restart();
     });
   }
   bool lost = each.kind == fault_kind::disk_loss, power = each.kind == fault_kind::power_loss;
-  group_.kill(name, lost ? hsim::disk_loss::all : power ? hsim::disk_loss::unsynced : hsim::disk_loss::none);
+  group_.kill(name, lost    ? simulator::disk_loss::all
+                    : power ? simulator::disk_loss::unsynced
+                            : simulator::disk_loss::none);
   after(each, outage, restart);
 }
 
@@ -200,7 +202,7 @@
   if (!host.up || host.frozen || host.sends_until_freeze > 0) return;
   note(each, name);
   if (each.kind == fault_kind::crash_client) {
-    world_.kill(name, hsim::disk_loss::none);
+    world_.kill(name, simulator::disk_loss::none);
     return after(each, std::min(each.length, longest_outage), [this, name] { restart_client(name); });
   }
   if (each.kind == fault_kind::freeze_client) world_.freeze(name);
--- a/tests/model/injector.h
+++ b/tests/model/injector.h
@@ -9,7 +9,7 @@
 class injector {
  public:
   // `start_client` starts a client's program anew on its machine, which runs already.
-  injector(hsim::world& world, cluster& group, std::vector<std::string> clients,
+  injector(simulator::world& world, cluster& group, std::vector<std::string> clients,
            std::function<void(const std::string& name)> start_client);
   // Runs the world until the plan's span is over, with its faults on the way.
   void run(const run_plan& plan);
@@ -35,7 +35,7 @@
   void note(const fault& each, const std::string& whom);
   void run_until(std::int64_t moment);
 
-  hsim::world& world_;
+  simulator::world& world_;
   cluster& group_;
   std::vector<std::string> clients_;
   std::function<void(const std::string&)> start_client_;
--- a/tests/model/run.cc
+++ b/tests/model/run.cc
@@ -161,7 +161,7 @@
   shared_context context_ = std::make_shared<client_context>();
   std::vector<std::string> clients_;
   run_result result_;
-  hsim::world world_;
+  simulator::world world_;
   cluster group_;
 };
 
--- a/tests/platform_site.cc
+++ b/tests/platform_site.cc
@@ -9,14 +9,15 @@
 #include "proxy/node.h"
 #include "storage_node/node.h"
 
-namespace herontally::psim {
+namespace herontally::platform_simulator {
 
 const char* const zones[3] = {"zone-a", "zone-b", "zone-c"};
 static const char* const platform_address = "10.200.0.100:8142";
 
 static std::string agent_of(const std::string& edge) { return edge + ":agent"; }
 
-site::site(hsim::world& where, oracle& judge, int losses) : where_(where), judge_(judge), losses_(losses) {
+site::site(simulator::world& where, oracle& judge, int losses)
+    : where_(where), judge_(judge), losses_(losses) {
   for (auto* name : {"clients", "operator", "platform"}) {
     where_.machine(name, "");
     where_.boot(name);
@@ -88,7 +89,7 @@
   judge_.calm(name);
 }
 
-void site::kill(const std::string& name, hsim::disk_loss loss, bool silent) {
+void site::kill(const std::string& name, simulator::disk_loss loss, bool silent) {
   judge_.trouble(name);
   where_.kill(name, loss, silent);
   if (places_.at(name).role == "edge") where_.kill(agent_of(name), loss, silent);
@@ -142,7 +143,7 @@
 
 // As the program does on SIGTERM: leave, then end; the platform kills it after the grace.
 template <class Node>
-static task<> leave_and_end(std::shared_ptr<Node> node, hsim::world* where, std::string name,
+static task<> leave_and_end(std::shared_ptr<Node> node, simulator::world* where, std::string name,
                             std::uint64_t life) {
   auto runtime = where->runtime_of(name);
   runtime::slot<bool> done(runtime);
@@ -151,7 +152,7 @@
   co_await done.wait();
   runtime.cancel(timer);
   where->at(where->now(), [where, name, life] {
-    if (where->find(name).life == life) where->kill(name, hsim::disk_loss::none);
+    if (where->find(name).life == life) where->kill(name, simulator::disk_loss::none);
   });
 }
 
@@ -170,14 +171,14 @@
     leave(agent, std::any_cast<std::shared_ptr<agent::node>>(node(agent)));
   }
   where_.at(where_.now() + grace, [this, name] {
-    where_.kill(name, hsim::disk_loss::none);
-    if (places_.at(name).role == "edge") where_.kill(agent_of(name), hsim::disk_loss::none);
+    where_.kill(name, simulator::disk_loss::none);
+    if (places_.at(name).role == "edge") where_.kill(agent_of(name), simulator::disk_loss::none);
     boot(name);
   });
 }
 
 void site::take_away(const std::string& name) {
-  kill(name, hsim::disk_loss::all, false);
+  kill(name, simulator::disk_loss::all, false);
   places_.at(name).gone = true;
   // Taken away in order it is no trouble.
   judge_.calm(name);
@@ -245,4 +246,4 @@
       60 * second);
 }
 
-}  // namespace herontally::psim
+}  // namespace herontally::platform_simulator
--- a/tests/platform_site.h
+++ b/tests/platform_site.h
@@ -3,11 +3,11 @@
 #pragma once
 #include <array>
 
-#include "hsim/world.h"
 #include "platform_site_oracle.h"
 #include "runtime/runtime.h"
+#include "simulator/world.h"
 
-namespace herontally::psim {
+namespace herontally::platform_simulator {
 
 using nlohmann::json;
 using runtime::task;
@@ -36,11 +36,11 @@
 class site {
  public:
   // `losses`: how many machines that keep data may be lost at once; it decides how many there are.
-  site(hsim::world& where, oracle& judge, int losses = 1);
+  site(simulator::world& where, oracle& judge, int losses = 1);
   // Boots all, sends the first configuration and waits until every edge machine is ready.
   bool begin();
   void boot(const std::string& name);
-  void kill(const std::string& name, hsim::disk_loss loss, bool silent);
+  void kill(const std::string& name, simulator::disk_loss loss, bool silent);
   void freeze(const std::string& name, bool on);
   // As at a planned stop: a notice, then the end within the grace, then a new start.
   void roll(const std::string& name);
@@ -78,7 +78,7 @@
 
   // Clients: plain requests and programs begin until `until`.
   void offer(microseconds until);
-  hsim::world& where() { return where_; }
+  simulator::world& where() { return where_; }
   oracle& judge() { return judge_; }
   std::vector<std::string> story;
   void tell(const std::string& what);
@@ -105,7 +105,7 @@
   task<> run_line(std::shared_ptr<program> whole, std::string previous, int turns);
   task<> offer_until(microseconds until);
 
-  hsim::world& where_;
+  simulator::world& where_;
   oracle& judge_;
   std::map<std::string, machine_place> places_;
   std::map<std::string, std::shared_ptr<engine_life>> lives_;  // by machine
@@ -123,4 +123,4 @@
 
 extern const char* const zones[3];
 
-}  // namespace herontally::psim
+}  // namespace herontally::platform_simulator
--- a/tests/platform_site_clients.cc
+++ b/tests/platform_site_clients.cc
@@ -1,7 +1,7 @@
 // Clients as the users' pages describe them: tries with ids of their own, programs, helpers and tool calls.
 #include "platform_site.h"
 
-namespace herontally::psim {
+namespace herontally::platform_simulator {
 
 struct site::program {
   std::string name, session;
@@ -189,4 +189,4 @@
 
 void site::offer(microseconds until) { where_.runtime_of("clients").spawn(offer_until(until)); }
 
-}  // namespace herontally::psim
+}  // namespace herontally::platform_simulator
--- a/tests/platform_site_engines.cc
+++ b/tests/platform_site_engines.cc
@@ -3,7 +3,7 @@
 
 #include "platform_site.h"
 
-namespace herontally::psim {
+namespace herontally::platform_simulator {
 
 constexpr microseconds lag = 800 * millisecond, cold_time = 3 * second;
 constexpr std::int64_t list_rate = 40, most_queued = 4;
@@ -94,7 +94,7 @@
   if (life->ended) return;
   life->ended = true;
   judge_.trouble(machine);
-  where_.kill(machine, hsim::disk_loss::none);
+  where_.kill(machine, simulator::disk_loss::none);
   // It stays on the list for a while; its address may go to an engine of another service.
   where_.at(where_.now() + 2 * second, [this, life] {
     show(life->machine, false);
@@ -243,4 +243,4 @@
   out->finish();
 }
 
-}  // namespace herontally::psim
+}  // namespace herontally::platform_simulator
--- a/tests/platform_site_faults.cc
+++ b/tests/platform_site_faults.cc
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <set>
 
-namespace herontally::psim {
+namespace herontally::platform_simulator {
 
 const std::vector<std::string>& fault_kinds() {
   static const std::vector<std::string> kinds{
@@ -34,9 +34,9 @@
   place.tell(what + " " + name);
   auto later = [&where, span](std::function<void()> work) { where.at(where.now() + span, std::move(work)); };
   if (what == "kill" || what == "power" || what == "wipe") {
-    auto loss = what == "kill"    ? hsim::disk_loss::none
-                : what == "power" ? hsim::disk_loss::unsynced
-                                  : hsim::disk_loss::all;
+    auto loss = what == "kill"    ? simulator::disk_loss::none
+                : what == "power" ? simulator::disk_loss::unsynced
+                                  : simulator::disk_loss::all;
     place.kill(name, loss, what != "kill");
     later([&place, name] { place.boot(name); });
   } else if (what == "freeze") {
@@ -48,7 +48,7 @@
   } else if (what == "roll") {
     place.roll(name);
   } else if (what == "replace") {
-    place.kill(name, hsim::disk_loss::all, true);
+    place.kill(name, simulator::disk_loss::all, true);
     later([&place, name, role] {
       auto zone = place.zone_of(name);
       place.take_away(name);
@@ -97,7 +97,7 @@
   for (auto* role : {"core", "store", "edge"})
     for (auto& name : place.of_role(role))
       if (place.zone_of(name) == zone && !place.judge().in_trouble(name)) lost.push_back(name);
-  for (auto& name : lost) place.kill(name, hsim::disk_loss::unsynced, true);
+  for (auto& name : lost) place.kill(name, simulator::disk_loss::unsynced, true);
   where.at(where.now() + 1500 * millisecond, [&place, lost] {
     for (auto& name : lost) place.boot(name);
   });
@@ -170,13 +170,13 @@
   for (auto& name : lost) place.tell("the disk of " + name + " is lost");
   for (auto& name : all)
     place.kill(name,
-               lost.count(name)     ? hsim::disk_loss::all
-               : kind == "all_kill" ? hsim::disk_loss::none
-                                    : hsim::disk_loss::unsynced,
+               lost.count(name)     ? simulator::disk_loss::all
+               : kind == "all_kill" ? simulator::disk_loss::none
+                                    : simulator::disk_loss::unsynced,
                kind != "all_kill");
   where.run_for(2 * second);
   for (auto& name : all) place.boot(name);
   place.judge().machines_back();
 }
 
-}  // namespace herontally::psim
+}  // namespace herontally::platform_simulator
--- a/tests/platform_site_faults.h
+++ b/tests/platform_site_faults.h
@@ -2,7 +2,7 @@
 #pragma once
 #include "platform_site.h"
 
-namespace herontally::psim {
+namespace herontally::platform_simulator {
 
 struct run_options {
   std::uint64_t seed = 1;
@@ -26,4 +26,4 @@
 void closing_fault(site& where, const std::string& kind, int losses);
 run_report run_scenario(const run_options& choice);
 
-}  // namespace herontally::psim
+}  // namespace herontally::platform_simulator
--- a/tests/platform_site_operator.cc
+++ b/tests/platform_site_operator.cc
@@ -2,7 +2,7 @@
 // clear.
 #include "platform_site.h"
 
-namespace herontally::psim {
+namespace herontally::platform_simulator {
 
 static json route(const std::string& prefix, const std::string& kind, const std::string& service) {
   json out{{"label", "r" + prefix},
@@ -141,4 +141,4 @@
   tell(store + " is not emptied");
 }
 
-}  // namespace herontally::psim
+}  // namespace herontally::platform_simulator
--- a/tests/platform_site_oracle.cc
+++ b/tests/platform_site_oracle.cc
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-namespace herontally::psim {
+namespace herontally::platform_simulator {
 
 const route_shape* version::match(const std::string& path) const {
   const route_shape* best = nullptr;
@@ -179,4 +179,4 @@
     against("FAILBACK", seen.engine + " gets " + std::to_string(within) + " in a second while cold");
 }
 
-}  // namespace herontally::psim
+}  // namespace herontally::platform_simulator
--- a/tests/platform_site_oracle.h
+++ b/tests/platform_site_oracle.h
@@ -6,9 +6,9 @@
 #include <nlohmann/json.hpp>
 #include <set>
 
-#include "hsim/world.h"
+#include "simulator/world.h"
 
-namespace herontally::psim {
+namespace herontally::platform_simulator {
 
 using runtime::microseconds;
 using runtime::millisecond;
@@ -72,7 +72,7 @@
 
 class oracle {
  public:
-  explicit oracle(hsim::world& where) : where_(where) {}
+  explicit oracle(simulator::world& where) : where_(where) {}
   void request(sent_request one);
   // The run that has begun, for the engine to fill in; nothing if no such request was sent.
   engine_run* run(const arrival& seen);
@@ -119,7 +119,7 @@
   std::string chain_of(const std::string& turn) const;
   std::int64_t floor_of(const sent_request& one, const std::string& edge) const;
 
-  hsim::world& where_;
+  simulator::world& where_;
   std::map<std::string, sent_request> requests_;
   std::map<std::int64_t, version> versions_;
   std::map<std::string, std::pair<std::string, microseconds>> turns_;  // answered whole: output, when
@@ -133,4 +133,4 @@
   std::int64_t before_ = 0, served_before_ = 0, after_ = 0, served_after_ = 0;
 };
 
-}  // namespace herontally::psim
+}  // namespace herontally::platform_simulator
--- a/tests/platform_site_oracle_answers.cc
+++ b/tests/platform_site_oracle_answers.cc
@@ -1,7 +1,7 @@
 // The rules of answers, configurations and of what must outlast a loss.
 #include "platform_site_oracle.h"
 
-namespace herontally::psim {
+namespace herontally::platform_simulator {
 
 static bool is_promise(int status) {
   return status == 429 || status == 503 || status == 408 || status == 421 || status == 402;
@@ -158,4 +158,4 @@
                            " requests are served after the closing fault");
 }
 
-}  // namespace herontally::psim
+}  // namespace herontally::platform_simulator
--- a/tests/platform_site_scenario.cc
+++ b/tests/platform_site_scenario.cc
@@ -3,7 +3,7 @@
 
 #include "platform_site_faults.h"
 
-namespace herontally::psim {
+namespace herontally::platform_simulator {
 
 static bool is_closing(const std::string& kind) {
   return kind == "all_power" || kind == "all_kill" || kind == "disk_lost";
@@ -36,7 +36,7 @@
 }
 
 run_report run_scenario(const run_options& choice) {
-  hsim::world world(choice.seed);
+  simulator::world world(choice.seed);
   oracle judge(world);
   site place(world, judge, choice.losses);
   run_report report;
@@ -83,4 +83,4 @@
   return report;
 }
 
-}  // namespace herontally::psim
+}  // namespace herontally::platform_simulator
--- a/tests/program_ledger_faults_test.cc
+++ b/tests/program_ledger_faults_test.cc
@@ -108,7 +108,7 @@
       std::string node = site.world.draw(2) ? "wa" : "wb";
       bool kill = site.world.draw(2) > 0;
       if (kill)
-        site.world.kill(victim, hsim::disk_loss::unsynced, true);
+        site.world.kill(victim, simulator::disk_loss::unsynced, true);
       else
         site.world.cut(victim, node);
       site.world.run_for(static_cast<runtime::microseconds>(site.world.draw(900000)));
@@ -142,8 +142,8 @@
     return site.run("v", ledger::program_ledger(other).read_chain(last, site.deadline("v", second)));
   };
   // At once, before repair brings the third what it missed.
-  site.world.kill("s1", hsim::disk_loss::all, true);
-  site.world.kill("s2", hsim::disk_loss::none, true);
+  site.world.kill("s1", simulator::disk_loss::all, true);
+  site.world.kill("s2", simulator::disk_loss::none, true);
   site.boot("s1");
   for (auto* store : {"s1"}) site.world.cut(store, "s3");
   REQUIRE(look("b").status == ledger::chain_status::unreachable);
@@ -189,7 +189,7 @@
     std::string leaving;
     for (auto& place : writer.current_view().voters)
       if (place.node == lost) leaving = place.id;
-    if (seed % 2) site.world.kill(lost, hsim::disk_loss::all, true);
+    if (seed % 2) site.world.kill(lost, simulator::disk_loss::all, true);
     // A voter that doesn't hear of the move from its maker is the one that a stale word could come from.
     std::string deaf = lost == "s3" ? "s2" : "s3";
     if (seed % 6 == 0) site.world.cut("w", deaf);
@@ -205,7 +205,7 @@
           site.run("w", reconfiguration::finish_move(writer, writer, site.deadline("w", 40 * second)));
       REQUIRE(finished);
     }
-    site.world.kill(lost == "s1" ? "s2" : "s1", hsim::disk_loss::all, true);
+    site.world.kill(lost == "s1" ? "s2" : "s1", simulator::disk_loss::all, true);
     auto reader = site.writer("r");
     reader.learn(writer.current_view());
     ledger::program_ledger cold(reader);
--- a/tests/program_ledger_test.cc
+++ b/tests/program_ledger_test.cc
@@ -94,7 +94,7 @@
   site.begin();
   ledger::program_ledger first(site.writer("wa"));
   REQUIRE(reserve(site, "wa", first, "a", 100, 100) == program_reservation::granted);
-  site.world.kill("wa", hsim::disk_loss::all, true);
+  site.world.kill("wa", simulator::disk_loss::all, true);
   ledger::program_ledger second_node(site.writer("wb"));
   REQUIRE(reserve(site, "wb", second_node, "b", 100, 100) == program_reservation::budget_spent);
 }
@@ -108,8 +108,8 @@
   auto other = site.writer("v");
   other.learn(writer.current_view());
   ledger::program_ledger cold(other);
-  site.world.kill("s1", hsim::disk_loss::none);
-  site.world.kill("s2", hsim::disk_loss::none);
+  site.world.kill("s1", simulator::disk_loss::none);
+  site.world.kill("s2", simulator::disk_loss::none);
   auto end = reserve(site, "w", programs, "b", 10, 10);
   bool honest = end == program_reservation::unreachable || end == program_reservation::unknown;
   REQUIRE(honest);
--- a/tests/replica_damage_test.cc
+++ b/tests/replica_damage_test.cc
@@ -12,7 +12,7 @@
 std::string body_of(int number) { return "{}\n" + std::to_string(number) + std::string(300, 'b'); }
 
 // Changes one byte of this text in each file of the machine that holds it.
-int damage(hsim::world& world, const std::string& machine, const std::string& text) {
+int damage(simulator::world& world, const std::string& machine, const std::string& text) {
   int places = 0;
   for (auto& [name, file] : world.find(machine).disk.files) {
     auto found = file.current.find(text);
@@ -42,7 +42,7 @@
       REQUIRE(site.voters[name]->content(key(number)) == body_of(number));
   // It is whole on disk as well.
   auto id = site.voters["s1"]->id();
-  site.world.kill("s1", hsim::disk_loss::none);
+  site.world.kill("s1", simulator::disk_loss::none);
   site.boot("s1");
   REQUIRE(site.voters["s1"]->id() == id);
   REQUIRE(site.voters["s1"]->content(key(4)) == body_of(4));
--- a/tests/replica_group_fixture.h
+++ b/tests/replica_group_fixture.h
@@ -2,9 +2,9 @@
 #pragma once
 #include <catch2/catch.hpp>
 
-#include "hsim/world.h"
 #include "reconfiguration/view_install.h"
 #include "replication/voter.h"
+#include "simulator/world.h"
 #include "storage_node/expiry.h"
 
 namespace herontally::tests {
@@ -13,7 +13,7 @@
 
 // Three storage machines (and spares), and writers that are machines of their own.
 struct group {
-  hsim::world world;
+  simulator::world world;
   std::map<std::string, std::shared_ptr<replication::voter>> voters;
   std::vector<std::string> names;
   std::int64_t limit_bytes = 256 << 20;
--- a/tests/request_queue_test.cc
+++ b/tests/request_queue_test.cc
@@ -3,7 +3,7 @@
 
 #include <catch2/catch.hpp>
 
-#include "hsim/world.h"
+#include "simulator/world.h"
 
 using namespace herontally;
 using runtime::millisecond;
@@ -22,7 +22,7 @@
 }  // namespace
 
 TEST_CASE("the most urgent of the waiting requests is woken first, then the first to come") {
-  hsim::world world(5);
+  simulator::world world(5);
   world.machine("node", "z");
   world.boot("node");
   auto runtime = world.runtime_of("node");
--- a/tests/request_router_test.cc
+++ b/tests/request_router_test.cc
@@ -150,7 +150,7 @@
   request_router_fixture here(21);
   here.engine("model", "models");
   here.begin();
-  for (auto* name : {"s1", "s2"}) here.stores.world.kill(name, hsim::disk_loss::none);
+  for (auto* name : {"s1", "s2"}) here.stores.world.kill(name, simulator::disk_loss::none);
   auto got = here.request("POST", "/turn/1", "in", {{"X-Previous-Turn", "unknown"}});
   CHECK(got.status == 503);
   CHECK_FALSE(got.headers["retry-after"].empty());
--- a/tests/rpc_version_test.cc
+++ b/tests/rpc_version_test.cc
@@ -1,8 +1,8 @@
 // The inner protocol between versions, and calendars on a whole simulated site.
 #include <catch2/catch.hpp>
 
-#include "hsim/site.h"
 #include "rpc/endpoint.h"
+#include "simulator/site.h"
 
 using namespace herontally;
 using runtime::second;
@@ -13,7 +13,7 @@
 
 // Asks a node that speaks one version from a node that speaks another.
 std::variant<std::int64_t, rpc::error> ask_across(int asker, int answerer, double* dropped) {
-  hsim::world world(1);
+  simulator::world world(1);
   for (auto* name : {"a", "b"}) {
     world.machine(name, "z");
     world.boot(name);
@@ -63,15 +63,15 @@
 }
 
 TEST_CASE("a calendar switches its table once for each of its times, also when the duty moves") {
-  hsim::world world(21);
-  hsim::oracle judge(world);
-  hsim::site_options choice;
-  choice.partners = {hsim::swanreach(1, 1)};
-  hsim::site place(world, judge, choice);
+  simulator::world world(21);
+  simulator::oracle judge(world);
+  simulator::site_options choice;
+  choice.partners = {simulator::swanreach(1, 1)};
+  simulator::site place(world, judge, choice);
   REQUIRE(place.begin());
   std::int64_t version = 0, before = 0;
   std::string table;
-  auto look = [](hsim::site* own, std::string core, std::int64_t* version, std::string* table,
+  auto look = [](simulator::site* own, std::string core, std::int64_t* version, std::string* table,
                  bool* done) -> runtime::task<> {
     auto now = co_await own->operate(core, "GET", "/v1/desired", "", "");
     if (now.status == 200) {
@@ -86,7 +86,7 @@
     REQUIRE(world.run_until([&] { return done; }, 10 * second));
   };
   see("core-1");
-  auto apply = [](hsim::site* own, std::int64_t expected, bool* done) -> runtime::task<> {
+  auto apply = [](simulator::site* own, std::int64_t expected, bool* done) -> runtime::task<> {
     nlohmann::json next = own->document(1);
     auto& partner = next["partners"]["swanreach"];
     partner["tables"]["night"] = nlohmann::json::object();
@@ -102,7 +102,7 @@
   before = version;
   // Two full minutes, and the duty's holder dies in the middle of them.
   world.run_for(50 * second);
-  world.kill("core-1", hsim::disk_loss::none, true);
+  world.kill("core-1", simulator::disk_loss::none, true);
   world.run_for(80 * second);
   see("core-2");
   REQUIRE(table == "night");
--- a/tests/send_window_test.cc
+++ b/tests/send_window_test.cc
@@ -40,7 +40,7 @@
   site.world.freeze("s3");
   for (int number = 0; number < 40; ++number)
     REQUIRE(site.run("w", writer.put_content(key_of(number), body, site.deadline("w", second), false)));
-  site.world.kill("s2", hsim::disk_loss::none);
+  site.world.kill("s2", simulator::disk_loss::none);
   site.world.wake("s3");
   REQUIRE(site.run("w", writer.put_content("turn/last", body, site.deadline("w", 2 * second), false)));
 }
--- a/tests/site_test.cc
+++ b/tests/site_test.cc
@@ -1,5 +1,5 @@
 // What a client sees of a whole simulated site, where the seeds don't look for it.
-#include "hsim/site.h"
+#include "simulator/site.h"
 
 #include <catch2/catch.hpp>
 
@@ -10,38 +10,39 @@
 namespace {
 
 struct small_site {
-  hsim::world world;
-  hsim::oracle judge;
-  hsim::site place;
-  explicit small_site(hsim::site_options choice, std::uint64_t seed = 5)
+  simulator::world world;
+  simulator::oracle judge;
+  simulator::site place;
+  explicit small_site(simulator::site_options choice, std::uint64_t seed = 5)
       : world(seed), judge(world), place(world, judge, choice) {
     REQUIRE(place.begin());
     world.run_for(4 * second);
   }
   void spawn_turn(const std::string& program, const std::string& turn,
-                  std::shared_ptr<std::optional<simcaller::seen_turn>> out, std::size_t proxy = 0,
+                  std::shared_ptr<std::optional<load_generator::seen_turn>> out, std::size_t proxy = 0,
                   double patience = 20) {
-    auto take = [](hsim::site* own, std::string program, std::string turn, std::size_t proxy, double patience,
-                   std::shared_ptr<std::optional<simcaller::seen_turn>> out) -> runtime::task<> {
+    auto take = [](simulator::site* own, std::string program, std::string turn, std::size_t proxy,
+                   double patience,
+                   std::shared_ptr<std::optional<load_generator::seen_turn>> out) -> runtime::task<> {
       auto proxies = own->proxies();
-      auto seen = co_await simcaller::take_turn(own->callers(), proxies[proxy % proxies.size()], "swanreach",
-                                                program, turn, "say " + turn, 64, patience);
+      auto seen = co_await load_generator::take_turn(own->callers(), proxies[proxy % proxies.size()],
+                                                     "swanreach", program, turn, "say " + turn, 64, patience);
       out->emplace(seen);
     };
     place.callers().spawn(take(&place, program, turn, proxy, patience, out));
   }
-  simcaller::seen_turn turn(const std::string& program, const std::string& turn, std::size_t proxy = 0) {
-    auto out = std::make_shared<std::optional<simcaller::seen_turn>>();
+  load_generator::seen_turn turn(const std::string& program, const std::string& turn, std::size_t proxy = 0) {
+    auto out = std::make_shared<std::optional<load_generator::seen_turn>>();
     spawn_turn(program, turn, out, proxy);
     REQUIRE(world.run_until([&] { return out->has_value(); }, 30 * second));
     return **out;
   }
-  simcaller::seen_call call(const std::string& key) {
-    auto out = std::make_shared<std::optional<simcaller::seen_call>>();
-    auto make = [](hsim::site* own, std::string key,
-                   std::shared_ptr<std::optional<simcaller::seen_call>> out) -> runtime::task<> {
-      auto seen = co_await simcaller::make_call(own->callers(), own->proxies()[0], "swanreach", "labels", key,
-                                                "{}", 10);
+  load_generator::seen_call call(const std::string& key) {
+    auto out = std::make_shared<std::optional<load_generator::seen_call>>();
+    auto make = [](simulator::site* own, std::string key,
+                   std::shared_ptr<std::optional<load_generator::seen_call>> out) -> runtime::task<> {
+      auto seen = co_await load_generator::make_call(own->callers(), own->proxies()[0], "swanreach", "labels",
+                                                     key, "{}", 10);
       out->emplace(seen);
     };
     place.callers().spawn(make(&place, key, out));
@@ -75,7 +76,7 @@
 }
 
 TEST_CASE("a receipt shrinks to a tombstone after its keeping time, and its key never runs again") {
-  hsim::site_options choice;
+  simulator::site_options choice;
   choice.receipt_seconds = 1;
   small_site site(choice);
   REQUIRE(site.call("k1").status == 200);
@@ -91,20 +92,20 @@
 }
 
 TEST_CASE("turns that wait are answered at once when the last usable engine goes") {
-  hsim::site_options choice;
-  choice.partners = {hsim::swanreach(1, 1)};
+  simulator::site_options choice;
+  choice.partners = {simulator::swanreach(1, 1)};
   choice.turns_per_engine = 1;
   choice.warm_seconds = 0;
   choice.token_milliseconds = 50;
   small_site site(choice);
-  std::vector<std::shared_ptr<std::optional<simcaller::seen_turn>>> seen;
+  std::vector<std::shared_ptr<std::optional<load_generator::seen_turn>>> seen;
   for (int number = 0; number < 6; ++number) {
-    seen.push_back(std::make_shared<std::optional<simcaller::seen_turn>>());
+    seen.push_back(std::make_shared<std::optional<load_generator::seen_turn>>());
     site.spawn_turn("eligibility:w" + std::to_string(number), "t0", seen.back(),
                     static_cast<std::size_t>(number));
   }
   site.world.run_for(600 * millisecond);
-  site.world.kill("model-1", hsim::disk_loss::none);
+  site.world.kill("model-1", simulator::disk_loss::none);
   auto answered = [&] {
     for (auto& each : seen)
       if (!each->has_value()) return false;
@@ -119,13 +120,13 @@
 }
 
 TEST_CASE("a client that doesn't read is cut, with what lies for it bounded") {
-  hsim::site_options choice;
+  simulator::site_options choice;
   choice.client_buffer_kilobytes = 1;
   choice.token_milliseconds = 20;
   small_site site(choice);
-  std::vector<std::shared_ptr<std::optional<simcaller::seen_turn>>> seen;
+  std::vector<std::shared_ptr<std::optional<load_generator::seen_turn>>> seen;
   for (int number = 0; number < 20; ++number) {
-    seen.push_back(std::make_shared<std::optional<simcaller::seen_turn>>());
+    seen.push_back(std::make_shared<std::optional<load_generator::seen_turn>>());
     site.spawn_turn("exchange:slow" + std::to_string(number), "t0", seen.back(),
                     static_cast<std::size_t>(number));
   }
@@ -146,17 +147,17 @@
   int fresh_doors = 0;
   for (std::uint64_t seed = 1; seed <= 36; ++seed) {
     small_site site({}, seed);
-    for (auto& core : site.place.of_role("control_node")) site.world.kill(core, hsim::disk_loss::none);
+    for (auto& core : site.place.of_role("control_node")) site.world.kill(core, simulator::disk_loss::none);
     site.world.run_for(2 * second);
     for (auto& each : site.place.of_role("engine"))
       if (each.rfind("model", 0) == 0) site.place.roll_engine(each, "v1");
     site.world.run_for(4500 * millisecond);
     for (auto name : {"agent-1", "door-1"}) {
-      site.world.kill(name, hsim::disk_loss::none);
+      site.world.kill(name, simulator::disk_loss::none);
       site.place.boot(name);
     }
     // The peers' list is the one of before; the engines that it names stay up for 2.5 s more.
-    auto out = std::make_shared<std::optional<simcaller::seen_turn>>();
+    auto out = std::make_shared<std::optional<load_generator::seen_turn>>();
     bool fresh = false;
     for (int number = 0; number < 120; ++number) {
       site.spawn_turn("exchange:" + std::to_string(number), "t0", out, 0, 1);
--- a/tests/storage_crash_test.cc
+++ b/tests/storage_crash_test.cc
@@ -1,7 +1,7 @@
 // The bucket on disk against an oracle, with a crash at every write and sync, torn and lost writes.
 #include <catch2/catch.hpp>
 
-#include "hsim/world.h"
+#include "simulator/world.h"
 #include "storage/log_store.h"
 
 using namespace herontally;
@@ -80,7 +80,7 @@
   int crashes = 0;
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     for (int operation = 1; operation <= 40; operation += 3) {
-      hsim::world world(seed * 1000 + static_cast<std::uint64_t>(operation));
+      simulator::world world(seed * 1000 + static_cast<std::uint64_t>(operation));
       auto state = std::make_shared<writer_state>();
       for (int life = 0; life < 3; ++life) {
         auto& machine = world.machine("m", "z");
@@ -93,7 +93,7 @@
         REQUIRE(state->recovered);
         state->recovered = false;
         if (machine.disk.crashed) ++crashes;
-        world.kill("m", hsim::disk_loss::unsynced);
+        world.kill("m", simulator::disk_loss::unsynced);
       }
     }
   }
@@ -104,13 +104,13 @@
 TEST_CASE("a damaged record behind others is reported, not skipped") {
   int reported = 0;
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
-    hsim::world world(seed);
+    simulator::world world(seed);
     auto state = std::make_shared<writer_state>();
     auto& machine = world.machine("m", "z");
     world.boot("m");
     world.runtime_of("m").spawn(write_on(world.runtime_of("m"), state, seed, 25));
     world.run_for(20 * runtime::second);
-    world.kill("m", hsim::disk_loss::none);
+    world.kill("m", simulator::disk_loss::none);
     // A flipped byte in the current log, before its last batch.
     for (auto& [name, file] : machine.disk.files)
       if (name.find("log") != std::string::npos && file.current.size() > 200) file.current[40] ^= 0x55;
--- a/tests/storage_recovery_test.cc
+++ b/tests/storage_recovery_test.cc
@@ -104,7 +104,7 @@
       auto end = setting.commit(large_records(20, 5, value_bytes, next));
       if (setting.disk().crashed) ++crashes;
       REQUIRE(end.has_value() == !setting.disk().crashed);
-      setting.world.kill("m", hsim::disk_loss::unsynced);
+      setting.world.kill("m", simulator::disk_loss::unsynced);
       setting.disk().crashed = false;
       setting.disk().crash_after = -1;
       REQUIRE_FALSE(setting.start());
--- a/tests/stored_data_test.cc
+++ b/tests/stored_data_test.cc
@@ -33,7 +33,7 @@
   return out.str();
 }
 
-void write_disk(const hsim::sim_disk& disk, const std::filesystem::path& folder) {
+void write_disk(const simulator::sim_disk& disk, const std::filesystem::path& folder) {
   std::filesystem::create_directories(folder);
   for (auto& [name, file] : disk.files) {
     auto path = folder / std::filesystem::path(name).filename();
@@ -42,7 +42,7 @@
   }
 }
 
-void load_disk(hsim::sim_disk& disk, const std::filesystem::path& folder) {
+void load_disk(simulator::sim_disk& disk, const std::filesystem::path& folder) {
   for (auto& entry : std::filesystem::directory_iterator(folder)) {
     auto bytes = read_file(entry.path());
     disk.files[entry.path().filename().string()] = {bytes, bytes, true};
--- a/tools/fleetlib.py
+++ b/tools/fleetlib.py
@@ -76,9 +76,9 @@
 
     def start(self, node):
         command = [os.path.join(self.build, node["role"])]
-        if node["role"] == "simengine":
+        if node["role"] == "engine_stand_in":
             command += ["--engine", os.path.join(self.folder, "engines.json"), "--only", node["name"]]
-        elif node["role"] == "simplatform":
+        elif node["role"] == "platform_stand_in":
             doors = [each["http"] for each in self.state["nodes"].values() if each["role"][0] == "h"]
             command += ["--listen", node["http"], "--engines", os.path.join(self.folder, "engines.json"),
                         "--nodes", ",".join(doors)]
@@ -140,9 +140,9 @@
         return 0, ""
 
 
-def hctl(fleet, *arguments):
+def herontallyctl(fleet, *arguments):
     cores = ",".join(node["http"] for node in fleet.state["nodes"].values() if node["role"] == "control_node")
-    return subprocess.run([os.path.join(fleet.build, "hctl"), "--core", cores, "--token", TOKEN] + list(arguments),
+    return subprocess.run([os.path.join(fleet.build, "herontallyctl"), "--core", cores, "--token", TOKEN] + list(arguments),
                           stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True)
 
 
