--- a/tools/fleetlib.py
+++ b/tools/fleetlib.py
@@ -3,6 +3,8 @@
 
 
 TOKEN = "fleet-operator-token"
+# The product's own programs, named as their executables; the others are stand-ins.
+PRODUCT_ROLES = ("control_node", "storage_node", "agent", "proxy")
 
 
 def own_host():
@@ -79,9 +81,9 @@
         if node["role"] == "engine_stand_in":
             command += ["--engine", os.path.join(self.folder, "engines.json"), "--only", node["name"]]
         elif node["role"] == "platform_stand_in":
-            doors = [each["http"] for each in self.state["nodes"].values() if each["role"][0] == "h"]
+            nodes = [each["http"] for each in self.state["nodes"].values() if each["role"] in PRODUCT_ROLES]
             command += ["--listen", node["http"], "--engines", os.path.join(self.folder, "engines.json"),
-                        "--nodes", ",".join(doors)]
+                        "--nodes", ",".join(nodes)]
         else:
             self.write_settings(node)
             command += ["--settings", os.path.join(self.folder, "settings", node["name"] + ".json")]
