--- a/src/storage/log_store.cc
+++ b/src/storage/log_store.cc
@@ -64,7 +64,7 @@
 
 bool log_store::contains(const std::string& key) const { return state_->records.find(key) != nullptr; }
 
-bool log_store::has_entry(const std::string& key) const { return state_->records.entries().count(key) > 0; }
+bool log_store::has_entry(const std::string& key) const { return state_->records.entries().contains(key); }
 
 std::size_t log_store::value_bytes(const std::string& key) const {
   auto* entry = state_->records.find(key);
