--- a/src/replica_storage/cell.cc
+++ b/src/replica_storage/cell.cc
@@ -8,7 +8,7 @@
 
 constexpr std::size_t number_bytes = sizeof(std::int64_t);
 constexpr std::size_t ballot_bytes = 2 * number_bytes;
-constexpr std::size_t header_bytes = 2 * ballot_bytes;
+constexpr std::size_t cell_header_bytes = 2 * ballot_bytes;
 
 void put_ballot(char* out, const rpc::ballot& ballot) {
   memcpy(out, &ballot.counter, number_bytes);
@@ -30,21 +30,21 @@
 }
 
 std::string pack(const cell& content) {
-  std::string out(header_bytes, '\0');
+  std::string out(cell_header_bytes, '\0');
   put_ballot(out.data(), content.promised);
   put_ballot(out.data() + ballot_bytes, content.accepted);
   return out + content.value;
 }
 
 cell_ballots unpack_ballots(std::string_view bytes) {
-  if (bytes.size() < header_bytes) return {};
+  if (bytes.size() < cell_header_bytes) return {};
   return {get_ballot(bytes.data()), get_ballot(bytes.data() + ballot_bytes)};
 }
 
 cell unpack_cell(std::string_view bytes) {
   auto ballots = unpack_ballots(bytes);
   cell content{ballots.promised, ballots.accepted, {}};
-  if (bytes.size() >= header_bytes) content.value = bytes.substr(header_bytes);
+  if (bytes.size() >= cell_header_bytes) content.value = bytes.substr(cell_header_bytes);
   return content;
 }
 
