--- a/src/engine_stand_in/main.cc
+++ b/src/engine_stand_in/main.cc
@@ -16,16 +16,10 @@
 
 using namespace herontally;
 
-int main(int count, char** arguments) {
-  std::string usage =
-      "engine_stand_in: a stand-in for a partner's model or application engine\n\n"
-      "Usage: engine_stand_in --engine FILE --only NAME [--prefill_tokens_per_second N] "
-      "[--token_milliseconds N]\n"
-      "       [--transfer_bytes_per_second N] [--call_milliseconds N] [--most_running N] [--block_tokens N]\n"
-      "       [--hash_seed TEXT]\n\nExample:\n  engine_stand_in --engine fleet/engines.json --only "
-      "perth-m1\n";
-  auto rest = settings::parse_flags(count, arguments, usage);
-  if (!rest.empty()) settings::end_with("engine_stand_in", {rest[0], "is not expected"});
+namespace {
+
+// The engine's options, from the file and the flags. Ends the process with code 2 if one is at fault.
+engine_stand_in::options options_from_flags() {
   FILE* file = fopen(absl::GetFlag(FLAGS_engine).c_str(), "rb");
   if (!file) settings::end_with("engine_stand_in", {"--engine", "names a file that can't be read"});
   auto list = nlohmann::json::parse(file, nullptr, false);
@@ -53,6 +47,22 @@
   choice.most_running = choice.kind == "model" ? absl::GetFlag(FLAGS_most_running) : 16;
   choice.block_tokens = absl::GetFlag(FLAGS_block_tokens);
   choice.hash_seed = absl::GetFlag(FLAGS_hash_seed);
+  return choice;
+}
+
+}  // namespace
+
+int main(int count, char** arguments) {
+  std::string usage =
+      "engine_stand_in: a stand-in for a partner's model or application engine\n\n"
+      "Usage: engine_stand_in --engine FILE --only NAME [--prefill_tokens_per_second N] "
+      "[--token_milliseconds N]\n"
+      "       [--transfer_bytes_per_second N] [--call_milliseconds N] [--most_running N] [--block_tokens N]\n"
+      "       [--hash_seed TEXT]\n\nExample:\n  engine_stand_in --engine fleet/engines.json --only "
+      "perth-m1\n";
+  auto rest = settings::parse_flags(count, arguments, usage);
+  if (!rest.empty()) settings::end_with("engine_stand_in", {rest[0], "is not expected"});
+  auto choice = options_from_flags();
   logging::start("engine_stand_in", "WARN");
   runtime::event_loop loop("");
   engine_stand_in::node node(loop.runtime(), choice, logging::logger(choice.name));
