--- a/src/config_trace/main.cc
+++ b/src/config_trace/main.cc
@@ -16,7 +16,7 @@
 using runtime::task;
 
 static const char* usage_text =
-    "config_trace: follows one change of the desired state through all nodes\n\n"
+    "config_trace: follows one change of the configuration through all nodes\n\n"
     "Usage: config_trace --seeds IP:PORT[,IP:PORT...] [--revision N] [--json]\n\n"
     "Prints when the change was chosen, when and by which way each node learned it, when each proxy had it\n"
     "in force, and which nodes lag. Exit codes: 0 everywhere, 1 some node lags or does not answer, 2 bad "
@@ -45,56 +45,81 @@
   return best;
 }
 
-static int print(std::vector<node_trace>& nodes, std::int64_t revision, bool as_json) {
+// Wall clock in microseconds; 0: unknown.
+struct change_times {
   std::int64_t chosen = 0, acknowledged = 0;
+  double milliseconds_after(std::int64_t wall) const { return static_cast<double>(wall - chosen) / 1000; }
+};
+
+static change_times times_of(const std::vector<node_trace>& nodes, std::int64_t revision) {
+  change_times times;
   for (auto& node : nodes)
     for (auto& event : node.reply.events) {
       if (event.revision != revision) continue;
       // Should the core that chose it have forgotten, the first core's learning of it stands in.
-      bool told =
+      bool shows_choice =
           event.event == "chosen" || (event.event == "learned" && node.who.role == rpc::node_role::core);
-      if (told && (chosen == 0 || event.wall < chosen)) chosen = event.wall;
-      if (event.event == "acknowledged") acknowledged = event.wall;
+      if (shows_choice && (times.chosen == 0 || event.wall < times.chosen)) times.chosen = event.wall;
+      if (event.event == "acknowledged") times.acknowledged = event.wall;
     }
-  auto after = [&](std::int64_t wall) { return static_cast<double>(wall - chosen) / 1000; };
-  json out{
-      {"revision", revision}, {"chosen_us", chosen}, {"nodes", json::array()}, {"lagging", json::array()}};
-  if (acknowledged) out["acknowledged_ms"] = after(acknowledged);
+  return times;
+}
+
+static json row_of(const node_trace& node, std::int64_t revision, const change_times& times) {
+  std::string way;
+  bool is_proxy = node.who.role == rpc::node_role::proxy;
+  auto learned = wall_of(node, revision, is_proxy ? "in force" : "learned", &way);
+  auto in_force = wall_of(node, revision, "in force", nullptr);
+  json row{
+      {"node", node.who.name}, {"role", node.who.role}, {"zone", node.who.zone}, {"answered", node.answered}};
+  if (learned && times.chosen) row["learned_ms"] = times.milliseconds_after(learned);
+  if (learned) row["way"] = way;
+  if (in_force && times.chosen && node.who.role != rpc::node_role::core)
+    row["in_force_ms"] = times.milliseconds_after(in_force);
+  return row;
+}
+
+static void print_row(const json& row) {
+  auto number = [&](const char* field) {
+    char text[32] = "-";
+    if (row.contains(field)) snprintf(text, sizeof text, "%.1f", row[field].get<double>());
+    return std::string(text);
+  };
+  printf("%-16s %-7s %-12s %12s %12s  %s\n", row["node"].get<std::string>().c_str(),
+         row["role"].get<std::string>().c_str(), row["zone"].get<std::string>().c_str(),
+         number("learned_ms").c_str(), number("in_force_ms").c_str(), row.value("way", "lags").c_str());
+}
+
+static void print_table(const json& out, std::int64_t revision, const change_times& times) {
+  printf("revision %lld%s\n", static_cast<long long>(revision),
+         times.chosen ? "" : " (nobody remembers when it was chosen)");
+  if (times.acknowledged)
+    printf("acknowledged %.1f ms after it was chosen\n", times.milliseconds_after(times.acknowledged));
+  printf("%-16s %-7s %-12s %12s %12s  %s\n", "node", "role", "zone", "learned ms", "in force ms", "way");
+  for (auto& row : out["nodes"]) print_row(row);
+}
+
+// Returns the program's exit code: 1 if a node lags.
+static int print(const std::vector<node_trace>& nodes, std::int64_t revision, bool as_json) {
+  auto times = times_of(nodes, revision);
+  json out{{"revision", revision},
+           {"chosen_us", times.chosen},
+           {"nodes", json::array()},
+           {"lagging", json::array()}};
+  if (times.acknowledged) out["acknowledged_ms"] = times.milliseconds_after(times.acknowledged);
   for (auto& node : nodes) {
-    std::string way;
-    bool proxy = node.who.role == rpc::node_role::proxy;
-    auto learned = wall_of(node, revision, proxy ? "in force" : "learned", &way);
-    auto forced = wall_of(node, revision, "in force", nullptr);
-    bool concerned = node.who.role == rpc::node_role::core || node.who.role == rpc::node_role::agent || proxy;
+    auto role = node.who.role;
+    bool concerned =
+        role == rpc::node_role::core || role == rpc::node_role::agent || role == rpc::node_role::proxy;
     if (!concerned) continue;
-    json row{{"node", node.who.name},
-             {"role", node.who.role},
-             {"zone", node.who.zone},
-             {"answered", node.answered}};
-    if (learned && chosen) row["learned_ms"] = after(learned);
-    if (learned) row["way"] = way;
-    if (forced && chosen && node.who.role != rpc::node_role::core) row["in_force_ms"] = after(forced);
-    if (!learned) out["lagging"].push_back(node.who.name);
+    auto row = row_of(node, revision, times);
+    if (!row.contains("way")) out["lagging"].push_back(node.who.name);
     out["nodes"].push_back(row);
   }
-  if (as_json) {
+  if (as_json)
     printf("%s\n", out.dump(2).c_str());
-  } else {
-    printf("revision %lld%s\n", static_cast<long long>(revision),
-           chosen ? "" : " (nobody remembers when it was chosen)");
-    if (acknowledged) printf("acknowledged %.1f ms after it was chosen\n", after(acknowledged));
-    printf("%-16s %-7s %-12s %12s %12s  %s\n", "node", "role", "zone", "learned ms", "in force ms", "way");
-    for (auto& row : out["nodes"]) {
-      auto number = [&](const char* field) {
-        char text[32] = "-";
-        if (row.contains(field)) snprintf(text, sizeof text, "%.1f", row[field].get<double>());
-        return std::string(text);
-      };
-      printf("%-16s %-7s %-12s %12s %12s  %s\n", row["node"].get<std::string>().c_str(),
-             row["role"].get<std::string>().c_str(), row["zone"].get<std::string>().c_str(),
-             number("learned_ms").c_str(), number("in_force_ms").c_str(), row.value("way", "lags").c_str());
-    }
-  }
+  else
+    print_table(out, revision, times);
   return out["lagging"].empty() ? 0 : 1;
 }
 
--- a/src/replication/view_installer.cc
+++ b/src/replication/view_installer.cc
@@ -44,7 +44,8 @@
 task<bool> view_installer::install(view chosen) {
   auto self = replica_;
   auto& current = self->current_view;
-  if (chosen.number <= current.number) co_return chosen.number == current.number&& chosen == current;
+  bool already_installed = chosen == current;
+  if (chosen.number <= current.number) co_return already_installed;
   bool left_out = !chosen.includes(self->identity);
   if (broken("early_wipe")) left_out = left_out || !consensus::contains(chosen.voters, self->identity);
   // What is stored here may be stale, and must never vote again. A voter without a view belongs to none yet.
--- a/src/router/request.cc
+++ b/src/router/request.cc
@@ -89,7 +89,7 @@
   auto self = shared_from_this();
   bool prepared = co_await self->prepare(one);
   if (prepared) co_await self->run_attempts(one);
-  // What was put out is spent; nobody waits for the ledger's word on it.
+  // What was put out is spent; nobody waits for the ledger's reply.
   if (one->reserved) self->runtime.spawn(self->settle(one));
 }
 
@@ -131,27 +131,25 @@
   return std::nullopt;
 }
 
-task<std::optional<plan>> request_router::state::plan_attempt(exchange_pointer one,
-                                                              std::vector<interning::symbol> avoid,
-                                                              int attempt, std::shared_ptr<bool> retry_plan) {
+task<planning_result> request_router::state::plan_attempt(exchange_pointer one,
+                                                          std::vector<interning::symbol> avoid, int attempt) {
   auto self = shared_from_this();
-  *retry_plan = false;
   subject asked{one->route, one->service, one->metadata, std::move(avoid), attempt};
   auto planned = make_plan(asked, self->engines, self->planning(), self->runtime.random());
   if (auto* made = std::get_if<plan>(&planned)) co_return std::move(*made);
   if (std::get<unplanned>(planned) == unplanned::hopeless) {
     self->reject(one, {503, "no engine can take it", 300});
-    co_return std::nullopt;
+    co_return not_planned::rejected;
   }
   // Held no longer than a part of its latency target without an engine: another node may have capacity.
   auto until = std::min(one->deadline, one->arrived + one->route.latency_target * millisecond / 5);
-  bool capacity = co_await self->wait_for_capacity(until, one->route.urgency);
-  *retry_plan = capacity;
-  if (!capacity) self->reject(one, {503, "all engines are busy", 100});
-  co_return std::nullopt;
+  bool notified = co_await self->wait_for_capacity(until, one->route.urgency);
+  if (notified) co_return not_planned::try_again;
+  self->reject(one, {503, "all engines are busy", 100});
+  co_return not_planned::rejected;
 }
 
-// What the client is told after an attempt; nothing: the next attempt follows.
+// How the client is answered after an attempt; nothing: the next attempt follows.
 static std::optional<rejection> rejection_after(attempt_outcome outcome, const exchange& one, int tries) {
   if (outcome == attempt_outcome::overdue) return rejection{504, "the engine did not answer in time"};
   bool not_run = outcome == attempt_outcome::not_run;
@@ -164,7 +162,6 @@
 task<> request_router::state::run_attempts(exchange_pointer one) {
   auto self = shared_from_this();
   std::vector<interning::symbol> avoid;
-  auto retry_plan = std::make_shared<bool>(false);
   int tries = 0;
   for (int attempt = 1; attempt <= max_attempts;) {
     if (one->client_gone || one->out->closed()) co_return;
@@ -172,8 +169,9 @@
       self->reject(one, *against);
       co_return;
     }
-    auto made = co_await self->plan_attempt(one, avoid, attempt, retry_plan);
-    if (!made && *retry_plan) continue;
+    auto planned = co_await self->plan_attempt(one, avoid, attempt);
+    auto* made = std::get_if<plan>(&planned);
+    if (!made && std::get<not_planned>(planned) == not_planned::try_again) continue;
     if (!made) co_return;
     avoid.push_back(made->engine);
     ++attempt;
--- a/src/router/request_router_state.h
+++ b/src/router/request_router_state.h
@@ -47,6 +47,13 @@
   overdue,       // the deadline is over
 };
 
+// What came of planning an attempt: a plan, or one of these.
+enum class not_planned {
+  try_again,  // an engine may have capacity now
+  rejected,   // the client has its response
+};
+using planning_result = std::variant<plan, not_planned>;
+
 // What a rejection tells the client.
 struct rejection {
   int status = 503;
@@ -102,9 +109,7 @@
   task<> run_attempts(exchange_pointer one);
   std::optional<rejection> check_before_attempt(exchange& one, int attempt);
   bool take_current_route(exchange& one);
-  // Nothing: the request was rejected, or `retry_plan` says to plan again.
-  task<std::optional<plan>> plan_attempt(exchange_pointer one, std::vector<interning::symbol> avoid,
-                                         int attempt, std::shared_ptr<bool> retry_plan);
+  task<planning_result> plan_attempt(exchange_pointer one, std::vector<interning::symbol> avoid, int attempt);
 
   // Forwarding.
   task<attempt_outcome> run_attempt(exchange_pointer one, plan made);
--- a/src/runtime/http_server_exchange.cc
+++ b/src/runtime/http_server_exchange.cc
@@ -9,57 +9,41 @@
 
 namespace {
 
+struct status_text {
+  int status;
+  const char* reason;
+};
+// RFC 9110, section 15, and RFC 6585.
+constexpr status_text status_texts[] = {
+    {200, "OK"},
+    {201, "Created"},
+    {202, "Accepted"},
+    {204, "No Content"},
+    {400, "Bad Request"},
+    {401, "Unauthorized"},
+    {402, "Payment Required"},
+    {403, "Forbidden"},
+    {404, "Not Found"},
+    {405, "Method Not Allowed"},
+    {408, "Request Timeout"},
+    {409, "Conflict"},
+    {410, "Gone"},
+    {412, "Precondition Failed"},
+    {413, "Payload Too Large"},
+    {421, "Misdirected Request"},
+    {422, "Unprocessable Entity"},
+    {428, "Precondition Required"},
+    {429, "Too Many Requests"},
+    {500, "Internal Server Error"},
+    {502, "Bad Gateway"},
+    {503, "Service Unavailable"},
+    {504, "Gateway Timeout"},
+};
+
 const char* reason_of(int status) {
-  switch (status) {
-    case 200:
-      return "OK";
-    case 201:
-      return "Created";
-    case 202:
-      return "Accepted";
-    case 204:
-      return "No Content";
-    case 400:
-      return "Bad Request";
-    case 401:
-      return "Unauthorized";
-    case 402:
-      return "Payment Required";
-    case 403:
-      return "Forbidden";
-    case 404:
-      return "Not Found";
-    case 405:
-      return "Method Not Allowed";
-    case 408:
-      return "Request Timeout";
-    case 409:
-      return "Conflict";
-    case 410:
-      return "Gone";
-    case 412:
-      return "Precondition Failed";
-    case 413:
-      return "Payload Too Large";
-    case 421:
-      return "Misdirected Request";
-    case 422:
-      return "Unprocessable Entity";
-    case 428:
-      return "Precondition Required";
-    case 429:
-      return "Too Many Requests";
-    case 500:
-      return "Internal Server Error";
-    case 502:
-      return "Bad Gateway";
-    case 503:
-      return "Service Unavailable";
-    case 504:
-      return "Gateway Timeout";
-    default:
-      return "Answer";
-  }
+  for (auto& each : status_texts)
+    if (each.status == status) return each.reason;
+  return "Answer";
 }
 
 void add_headers(evhttp_request* request, const std::map<std::string, std::string>& headers) {
--- a/src/scale_run/hollow.cc
+++ b/src/scale_run/hollow.cc
@@ -104,7 +104,6 @@
   auto& here = *state_;
   herontally::settings::settings place;
   place.name = here.terms.name;
-  place.role = "agent";
   place.zone = here.terms.zone;
   place.inner = here.terms.inner;
   place.http = here.terms.http;
--- a/src/settings/settings.cc
+++ b/src/settings/settings.cc
@@ -109,7 +109,6 @@
     if (!known.contains(field)) return fault{field, "is not a setting"};
   reader from{document, std::nullopt};
   settings out;
-  out.role = role;
   out.name = from.text("name", true);
   if (!interning::is_plain_name(out.name)) from.fail("name", "must be letters, digits, '-', '_', '.' or ':'");
   out.zone = from.text("zone", true);
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -13,7 +13,7 @@
 };
 
 struct settings {
-  std::string name, role, zone;
+  std::string name, zone;
   std::string inner, http;         // ip:port
   std::vector<std::string> seeds;  // inner addresses of three other processes
   std::string data;                // folder; empty for programs that keep nothing
--- a/src/simulator/measure_times.cc
+++ b/src/simulator/measure_times.cc
@@ -52,6 +52,51 @@
   return complete;
 }
 
+// Seconds from now to the last turn that the engine computed within the next six.
+double seconds_to_last_turn(site& place, const std::string& engine, double turns) {
+  auto& where = place.where();
+  auto begun = where.now();
+  double last_seen = 0;
+  where.run_until(
+      [&] {
+        auto now = place.metric(engine, "herontally_engine_turns_total");
+        if (now > turns) last_seen = static_cast<double>(where.now() - begun) / rt::second;
+        turns = std::max(turns, now);
+        return false;
+      },
+      6 * rt::second);
+  return last_seen;
+}
+
+// An engine that takes whatever comes is shown as leaving; how long do requests still reach it?
+double measure_drain(site& place) {
+  std::string victim = "model-1";
+  place.roll_engine(victim, "v1");
+  return seconds_to_last_turn(place, victim, place.metric(victim, "herontally_engine_turns_total"));
+}
+
+// A zone is evacuated; how long until its engines compute nothing new?
+double measure_evacuation(site& place) {
+  std::string inside = "model-2";
+  place.callers().spawn(place.change_zone("zone-b", true));
+  return seconds_to_last_turn(place, inside, place.metric(inside, "herontally_engine_turns_total"));
+}
+
+// Everything of ours goes down by power and starts again; how long until a turn is complete?
+double measure_total_loss(site& place) {
+  auto& where = place.where();
+  for (auto* role : {"control_node", "storage_node", "agent", "proxy"})
+    for (auto& name : place.of_role(role)) where.kill(name, disk_loss::unsynced, true);
+  where.run_for(2 * rt::second);
+  auto begun = where.now();
+  place.boot_all();
+  for (int attempt = 0; attempt < 60; ++attempt) {
+    if (serves(place, "back-" + std::to_string(attempt))) break;
+    where.run_for(50 * rt::millisecond);
+  }
+  return static_cast<double>(where.now() - begun) / rt::second;
+}
+
 }  // namespace
 
 void measure_times() {
@@ -63,53 +108,14 @@
     if (!place.begin()) continue;
     keep_busy(place, judge, 20);
     where.run_for(8 * rt::second);
-
-    // An engine that takes whatever comes is shown as leaving; how long do requests still reach it?
-    std::string victim = "model-1";
-    auto told = where.now();
-    place.roll_engine(victim, "v1");
-    double last_seen = 0, turns = place.metric(victim, "herontally_engine_turns_total");
-    where.run_until(
-        [&] {
-          auto now = place.metric(victim, "herontally_engine_turns_total");
-          if (now > turns) last_seen = static_cast<double>(where.now() - told) / rt::second;
-          turns = std::max(turns, now);
-          return false;
-        },
-        6 * rt::second);
-    drained.values.push_back(last_seen);
-
-    // A zone is evacuated; how long until its engines compute nothing new?
+    drained.values.push_back(measure_drain(place));
     where.run_for(3 * rt::second);
-    auto asked = where.now();
-    place.callers().spawn(place.change_zone("zone-b", true));
-    std::string inside = "model-2";
-    turns = place.metric(inside, "herontally_engine_turns_total");
-    double last_inside = 0;
-    where.run_until(
-        [&] {
-          auto now = place.metric(inside, "herontally_engine_turns_total");
-          if (now > turns) last_inside = static_cast<double>(where.now() - asked) / rt::second;
-          turns = std::max(turns, now);
-          return false;
-        },
-        6 * rt::second);
-    emptied.values.push_back(last_inside);
-
-    // Everything of ours goes down by power and starts again.
-    for (auto* role : {"control_node", "storage_node", "agent", "proxy"})
-      for (auto& name : place.of_role(role)) where.kill(name, disk_loss::unsynced, true);
-    where.run_for(2 * rt::second);
-    auto begun = where.now();
-    place.boot_all();
-    for (int attempt = 0; attempt < 60; ++attempt) {
-      if (serves(place, "back-" + std::to_string(attempt))) break;
-      where.run_for(50 * rt::millisecond);
-    }
-    back.values.push_back(static_cast<double>(where.now() - begun) / rt::second);
+    emptied.values.push_back(measure_evacuation(place));
+    back.values.push_back(measure_total_loss(place));
   }
   printf("| what | runs | least s | median s | most s | bound s |\n|---|---|---|---|---|---|\n");
-  drained.print("last turn computed at an engine after the platform was told (it shows it 0.4 s later)", 3);
+  drained.print("last turn computed at an engine after the platform was notified (it shows it 0.4 s later)",
+                3);
   emptied.print("last turn computed in a zone after its evacuation was asked for", 5);
   back.print("first turn complete after a total loss", 12);
 }
--- /dev/null
+++ b/src/simulator/seed_runs.h
@@ -0,0 +1,81 @@
+// What the command lines of both simulators share: ranges of seeds, kinds of faults, the printing of broken
+// rules, and the search for a seed that notices a broken mechanism.
+#pragma once
+#include <stdio.h>
+
+#include <algorithm>
+#include <string>
+#include <vector>
+
+#include "runtime/breaks.h"
+#include "settings/settings.h"
+
+namespace simulator {
+
+struct seed_range {
+  std::uint64_t first = 0, last = 0;
+  std::uint64_t size() const { return last - first + 1; }
+};
+
+// Of "A..B"; ends the program with code 2 for any other text.
+inline seed_range parse_seeds(const std::string& program, const std::string& text) {
+  auto dots = text.find("..");
+  bool digits = dots != std::string::npos && dots > 0 && dots + 2 < text.size() &&
+                text.find_first_not_of("0123456789.") == std::string::npos;
+  if (!digits) herontally::settings::end_with(program, {"--seeds", "must be A..B"});
+  return {std::stoull(text.substr(0, dots)), std::stoull(text.substr(dots + 2))};
+}
+
+// Kinds with commas between; ends the program with code 2 for one that isn't `known`.
+inline std::vector<std::string> parse_kinds(const std::string& program, const std::string& text,
+                                            const std::vector<std::string>& known) {
+  std::vector<std::string> chosen;
+  for (std::size_t begin = 0; begin < text.size();) {
+    auto end = std::min(text.find(',', begin), text.size());
+    chosen.push_back(text.substr(begin, end - begin));
+    if (std::find(known.begin(), known.end(), chosen.back()) == known.end())
+      herontally::settings::end_with(program, {"--only", "names no kind of fault: " + chosen.back()});
+    begin = end + 1;
+  }
+  return chosen;
+}
+
+template <class Violation>
+void print_first(const std::vector<Violation>& violations, std::size_t limit) {
+  for (std::size_t shown = 0; shown < std::min(limit, violations.size()); ++shown) {
+    auto& each = violations[shown];
+    printf("  %.3f s %s: %s\n", static_cast<double>(each.when) / 1e6, each.rule.c_str(), each.what.c_str());
+  }
+  fflush(stdout);
+}
+
+// With the mechanism whole no seed breaks a rule; with it broken, some seed breaks the rule that it protects.
+// Returns the program's exit code: 0 if that is so. `run` takes a seed and returns a report with
+// `violations`.
+template <class Run>
+int show_break([[maybe_unused]] Run run, [[maybe_unused]] seed_range seeds, const std::string& mechanism,
+               const std::string& rule) {
+#ifdef HERONTALLY_BREAKS
+  for (auto seed = seeds.first; seed <= seeds.last; ++seed) {
+    herontally::breaks().clear();
+    auto whole = run(seed);
+    if (!whole.violations.empty()) {
+      printf("seed %llu breaks %s without any break: %s\n", static_cast<unsigned long long>(seed),
+             whole.violations[0].rule.c_str(), whole.violations[0].what.c_str());
+      return 1;
+    }
+    herontally::breaks().insert(mechanism);
+    auto report = run(seed);
+    for (auto& each : report.violations) {
+      if (each.rule != rule) continue;
+      printf("seed %llu: with \"%s\" broken the oracle says %s: %s\n", static_cast<unsigned long long>(seed),
+             mechanism.c_str(), rule.c_str(), each.what.c_str());
+      return 0;
+    }
+  }
+#endif
+  printf("\"%s\" was broken and no seed broke %s\n", mechanism.c_str(), rule.c_str());
+  return 1;
+}
+
+}  // namespace simulator
--- a/src/simulator/site.cc
+++ b/src/simulator/site.cc
@@ -17,7 +17,7 @@
   for (int number = 0; number < self.choice.edges; ++number) {
     std::string tail = std::to_string(number + 1);
     self.make("agent", "agent-" + tail, zones[number % 3]);
-    self.make("proxy", "door-" + tail, zones[number % 3]).agent = self.places.at("agent-" + tail).inner;
+    self.make("proxy", "edge-" + tail, zones[number % 3]).agent = self.places.at("agent-" + tail).inner;
   }
   self.make("platform", "platform", "");
   self.make("callers", "callers", "");
@@ -80,7 +80,6 @@
 std::shared_ptr<Node> site::state::start(const place& spot) {
   ht::settings::settings given;
   given.name = spot.name;
-  given.role = spot.role;
   given.zone = spot.zone;
   given.inner = spot.inner;
   given.http = spot.http;
@@ -101,6 +100,46 @@
   return node;
 }
 
+template <class Node>
+static rt::task<> start_and_forget(std::shared_ptr<Node> started) {
+  co_await started->start();
+}
+
+engine_facts site::state::facts_of(const place& spot) const {
+  engine_facts facts{spot.name, spot.zone, spot.engine.weights, spot.engine.kind};
+  facts.block_tokens = spot.engine.block_tokens;
+  bool model = spot.engine.kind == "model";
+  facts.slow_start_concurrent = model ? choice.cold_turns : 1;
+  facts.max_concurrent = model ? choice.turns_per_engine : 16;
+  facts.warm_seconds = model ? choice.warm_seconds : 1;
+  return facts;
+}
+
+std::shared_ptr<ht::engine_stand_in::node> site::state::start_engine(const place& spot) {
+  auto name = spot.name;
+  auto node = std::make_shared<ht::engine_stand_in::node>(where.runtime_of(name), spot.engine, spot.logger);
+  node->on_run([this, name](const ht::engine_stand_in::run& what) {
+    judge.engine_ran(name, what);
+    auto trap = traps.find(what.what);
+    if (trap == traps.end()) return;
+    // Sprung from outside the engine's own code, which may not be ended under its feet.
+    where.at(where.now(), [action = std::move(trap->second), name] { action(name); });
+    traps.erase(trap);
+  });
+  judge.engine_begins(facts_of(spot));
+  where.runtime_of(name).spawn(start_and_forget(node));
+  return node;
+}
+
+std::shared_ptr<ht::platform_stand_in::node> site::state::start_platform(const place& spot) {
+  ht::platform_stand_in::options given;
+  given.http = spot.http;
+  given.engines = engines;
+  auto node = std::make_shared<ht::platform_stand_in::node>(where.runtime_of(spot.name), given, spot.logger);
+  where.runtime_of(spot.name).spawn(start_and_forget(node));
+  return node;
+}
+
 void site::boot(const std::string& name) {
   auto& self = *state_;
   auto& machine = self.where.find(name);
@@ -113,42 +152,8 @@
   if (spot.role == "storage_node") machine.node = self.start<ht::storage_node::node>(spot);
   if (spot.role == "agent") machine.node = self.start<ht::agent::node>(spot);
   if (spot.role == "proxy") machine.node = self.start<ht::proxy::node>(spot);
-  if (spot.role == "engine") {
-    auto node =
-        std::make_shared<ht::engine_stand_in::node>(self.where.runtime_of(name), spot.engine, spot.logger);
-    auto* judge = &self.judge;
-    auto* own = state_.get();
-    node->on_run([judge, name, own](const ht::engine_stand_in::run& what) {
-      judge->engine_ran(name, what);
-      auto trap = own->traps.find(what.what);
-      if (trap == own->traps.end()) return;
-      // Sprung from outside the engine's own code, which may not be ended under its feet.
-      own->where.at(own->where.now(), [action = std::move(trap->second), name] { action(name); });
-      own->traps.erase(trap);
-    });
-    engine_facts facts{name, spot.zone, spot.engine.weights, spot.engine.kind};
-    facts.block_tokens = spot.engine.block_tokens;
-    bool model = spot.engine.kind == "model";
-    facts.slow_start_concurrent = model ? self.choice.cold_turns : 1;
-    facts.max_concurrent = model ? self.choice.turns_per_engine : 16;
-    facts.warm_seconds = model ? self.choice.warm_seconds : 1;
-    judge->engine_begins(facts);
-    self.where.runtime_of(name).spawn([](std::shared_ptr<ht::engine_stand_in::node> started) -> rt::task<> {
-      co_await started->start();
-    }(node));
-    machine.node = node;
-  }
-  if (spot.role == "platform") {
-    ht::platform_stand_in::options given;
-    given.http = spot.http;
-    given.engines = self.engines;
-    auto node =
-        std::make_shared<ht::platform_stand_in::node>(self.where.runtime_of(name), given, spot.logger);
-    self.where.runtime_of(name).spawn([](std::shared_ptr<ht::platform_stand_in::node> started) -> rt::task<> {
-      co_await started->start();
-    }(node));
-    machine.node = node;
-  }
+  if (spot.role == "engine") machine.node = self.start_engine(spot);
+  if (spot.role == "platform") machine.node = self.start_platform(spot);
 }
 
 void site::boot_all() {
--- a/src/simulator/site_state.h
+++ b/src/simulator/site_state.h
@@ -41,6 +41,9 @@
   ht::logging::logger logger_of(const std::string& name);
   template <class Node>
   std::shared_ptr<Node> start(const place& spot);
+  engine_facts facts_of(const place& spot) const;
+  std::shared_ptr<ht::engine_stand_in::node> start_engine(const place& spot);
+  std::shared_ptr<ht::platform_stand_in::node> start_platform(const place& spot);
 };
 
 constexpr const char* operator_token = "operator-token";
--- a/tests/control_site_fixture.h
+++ b/tests/control_site_fixture.h
@@ -45,7 +45,6 @@
     world.boot(name);
     settings::settings place;
     place.name = name;
-    place.role = role;
     place.zone = "z" + name.substr(1);
     place.inner = inner(name);
     place.http = place.inner.substr(0, place.inner.size() - 4) + "8000";
--- a/tests/platform_simulator/main.cc
+++ b/tests/platform_simulator/main.cc
@@ -8,6 +8,7 @@
 #include "logging/logging.h"
 #include "runtime/breaks.h"
 #include "settings/settings.h"
+#include "simulator/seed_runs.h"
 
 ABSL_FLAG(std::string, seeds, "1..1", "seeds to run, as A..B");
 ABSL_FLAG(std::string, only, "", "kinds of faults, with commas between; empty: all");
@@ -28,64 +29,36 @@
     "--expect RULE]\n\n"
     "Example:\n  platform_simulator --seeds 1..40 --only edge_roll,change\n";
 
-// With the mechanism whole no seed breaks a rule; with it broken, some seed breaks the rule that it protects.
-static int show_break(platform_simulator::run_options choice, std::uint64_t first, std::uint64_t last) {
-  auto rule = absl::GetFlag(FLAGS_expect), what = absl::GetFlag(FLAGS_broken);
-#ifdef HERONTALLY_BREAKS
-  for (auto seed = first; seed <= last; ++seed) {
-    choice.seed = seed;
-    breaks().clear();
-    auto whole = platform_simulator::run_scenario(choice);
-    if (!whole.violations.empty()) {
-      printf("seed %llu breaks %s without any break: %s\n", static_cast<unsigned long long>(seed),
-             whole.violations[0].rule.c_str(), whole.violations[0].what.c_str());
-      return 1;
-    }
-    breaks().insert(what);
-    for (auto& each : platform_simulator::run_scenario(choice).violations) {
-      if (each.rule != rule) continue;
-      printf("seed %llu: with \"%s\" broken the oracle says %s: %s\n", static_cast<unsigned long long>(seed),
-             what.c_str(), rule.c_str(), each.what.c_str());
-      return 0;
-    }
-  }
-#else
-  (void)choice;
-  (void)first;
-  (void)last;
-#endif
-  printf("\"%s\" was broken and no seed broke %s\n", what.c_str(), rule.c_str());
-  return 1;
-}
-
-int main(int count, char** words) {
-  auto rest = settings::parse_flags(count, words, usage_text);
-  if (!rest.empty()) settings::end_with("platform_simulator", {rest[0], "is not expected"});
-  std::string seeds = absl::GetFlag(FLAGS_seeds);
-  auto dots = seeds.find("..");
-  bool digits = dots != std::string::npos && dots > 0 && dots + 2 < seeds.size() &&
-                seeds.find_first_not_of("0123456789.") == std::string::npos;
-  if (!digits) settings::end_with("platform_simulator", {"--seeds", "must be A..B"});
-  std::uint64_t first = std::stoull(seeds.substr(0, dots)), last = std::stoull(seeds.substr(dots + 2));
+static platform_simulator::run_options options_of_flags() {
   platform_simulator::run_options choice;
   choice.faults = static_cast<int>(absl::GetFlag(FLAGS_faults));
   choice.losses = static_cast<int>(absl::GetFlag(FLAGS_losses));
   if (choice.losses < 1 || choice.losses > 2)
     settings::end_with("platform_simulator", {"--losses", "must be 1 or 2"});
-  std::string only = absl::GetFlag(FLAGS_only);
-  for (std::size_t begin = 0; begin < only.size();) {
-    auto end = std::min(only.find(',', begin), only.size());
-    choice.only.push_back(only.substr(begin, end - begin));
-    auto& kinds = platform_simulator::fault_kinds();
-    if (std::find(kinds.begin(), kinds.end(), choice.only.back()) == kinds.end())
-      settings::end_with("platform_simulator", {"--only", "names no kind of fault: " + choice.only.back()});
-    begin = end + 1;
-  }
-  logging::start("platform_simulator", "OFF");
-  if (!absl::GetFlag(FLAGS_expect).empty()) return show_break(choice, first, last);
+  choice.only = simulator::parse_kinds("platform_simulator", absl::GetFlag(FLAGS_only),
+                                       platform_simulator::fault_kinds());
+  return choice;
+}
+
+static void print_violations(const platform_simulator::run_options& choice,
+                             const platform_simulator::run_report& report) {
+  constexpr std::size_t most_shown = 6;
+  auto seed = static_cast<unsigned long long>(choice.seed);
+  auto only = absl::GetFlag(FLAGS_only);
+  printf(
+      "seed %llu breaks rules %zu times; replay: platform_simulator --seeds %llu..%llu --faults %d "
+      "--losses %d%s%s "
+      "--verbose\n",
+      seed, report.violations.size(), seed, seed, choice.faults, choice.losses,
+      only.empty() ? "" : " --only ", only.c_str());
+  simulator::print_first(report.violations, most_shown);
+}
+
+// Runs each seed; the exit code tells whether any broke a rule.
+static int run_seeds(platform_simulator::run_options choice, simulator::seed_range seeds) {
   int failed = 0;
   std::int64_t requests = 0, served = 0;
-  for (auto seed = first; seed <= last; ++seed) {
+  for (auto seed = seeds.first; seed <= seeds.last; ++seed) {
     choice.seed = seed;
     auto report = platform_simulator::run_scenario(choice);
     requests += report.counts["requests"];
@@ -97,22 +70,25 @@
     }
     if (report.violations.empty()) continue;
     ++failed;
-    printf(
-        "seed %llu breaks rules %zu times; replay: platform_simulator --seeds %llu..%llu --faults %d "
-        "--losses %d%s%s "
-        "--verbose\n",
-        static_cast<unsigned long long>(seed), report.violations.size(),
-        static_cast<unsigned long long>(seed), static_cast<unsigned long long>(seed), choice.faults,
-        choice.losses, only.empty() ? "" : " --only ", only.c_str());
-    std::size_t shown = 0;
-    for (auto& each : report.violations)
-      if (shown++ < 6)
-        printf("  %.3f s %s: %s\n", static_cast<double>(each.when) / 1e6, each.rule.c_str(),
-               each.what.c_str());
-    fflush(stdout);
+    print_violations(choice, report);
   }
   printf("%llu seeds, %d with broken rules; %lld requests, %lld served\n",
-         static_cast<unsigned long long>(last - first + 1), failed, static_cast<long long>(requests),
+         static_cast<unsigned long long>(seeds.size()), failed, static_cast<long long>(requests),
          static_cast<long long>(served));
   return failed ? 1 : 0;
 }
+
+int main(int count, char** arguments) {
+  auto rest = settings::parse_flags(count, arguments, usage_text);
+  if (!rest.empty()) settings::end_with("platform_simulator", {rest[0], "is not expected"});
+  auto seeds = simulator::parse_seeds("platform_simulator", absl::GetFlag(FLAGS_seeds));
+  auto choice = options_of_flags();
+  logging::start("platform_simulator", "OFF");
+  auto rule = absl::GetFlag(FLAGS_expect);
+  auto run = [&choice](std::uint64_t seed) {
+    choice.seed = seed;
+    return platform_simulator::run_scenario(choice);
+  };
+  if (!rule.empty()) return simulator::show_break(run, seeds, absl::GetFlag(FLAGS_broken), rule);
+  return run_seeds(choice, seeds);
+}
