--- a/src/agent/config_feed.cc
+++ b/src/agent/config_feed.cc
@@ -38,7 +38,7 @@
   shared.freshness.set_edges(content->edges, content->previous_edges);
   shared.trace.add(content->revision, "learned", source);
   shared.logger.info("configuration learned", {{"revision", content->revision}, {"source", source}});
-  shared.logger.gauge("herontally_desired_revision", static_cast<double>(content->revision));
+  shared.logger.gauge("herontally_configuration_revision", static_cast<double>(content->revision));
 }
 
 rpc::config_update_request config_feed::update_request() const {
@@ -86,7 +86,8 @@
       ++self->core_number_;
       co_await shared->runtime.sleep(retry_pause);
     }
-    shared->logger.gauge("herontally_news_age_milliseconds", static_cast<double>(self->age_milliseconds()));
+    shared->logger.gauge("herontally_configuration_age_milliseconds",
+                         static_cast<double>(self->age_milliseconds()));
   }
 }
 
--- a/src/config_distribution/freshness.h
+++ b/src/config_distribution/freshness.h
@@ -20,7 +20,7 @@
   freshness(runtime::handle runtime, std::string own_name);
   // A core or a peer vouched for everything up to this moment.
   void vouched(runtime::microseconds moment);
-  // A peer edge told its revision at this moment or later, and we know at least that revision.
+  // A peer edge reported its revision at this moment or later, and we know at least that revision.
   void heard_edge(const std::string& name, runtime::microseconds moment);
   // The edges that the configuration lists, and those that it listed before while the set changes.
   void set_edges(const std::vector<std::string>& edges, const std::vector<std::string>& previous);
--- a/src/control_node/config_changes.h
+++ b/src/control_node/config_changes.h
@@ -39,9 +39,9 @@
   explicit config_changes(std::shared_ptr<context> shared) : context_(std::move(shared)) {}
   // Makes a change and waits until it is in force, at most three seconds.
   task<change_report> change(edit wanted);
-  // Tells the other cores of a record that was chosen, without waiting for them.
+  // Sends a chosen record to the other cores, without waiting for them.
   void announce(const configuration::record& chosen) const;
-  // An edge told that this revision is in force on its machine.
+  // An edge reported that this revision is in force on its machine.
   void note_applied(const std::string& edge, std::int64_t revision);
   // Whether the record is in force at a majority of its edges, and of the previous ones while they change.
   bool is_widely_applied(const configuration::record& content) const;
--- a/src/control_node/context.cc
+++ b/src/control_node/context.cc
@@ -16,7 +16,7 @@
   if (!configs.set_config(content->revision, distributed)) return;
   trace.add(content->revision, "learned", source);
   logger.info("configuration learned", {{"revision", content->revision}, {"source", source}});
-  logger.gauge("herontally_desired_revision", static_cast<double>(content->revision));
+  logger.gauge("herontally_configuration_revision", static_cast<double>(content->revision));
 }
 
 }  // namespace herontally::control_node
--- a/src/control_node/engine_list_publisher.cc
+++ b/src/control_node/engine_list_publisher.cc
@@ -14,7 +14,7 @@
   last_text_.clear();
 }
 
-// A core that took this list in this incarnation is told only that the list still holds.
+// A core that took this list in this incarnation gets only the confirmation that the list still holds.
 task<> engine_list_publisher::send_to(rpc::member receiver, list_version version, std::string text) {
   auto self = shared_from_this();
   auto incarnation = receiver.name + "/" + std::to_string(receiver.incarnation);
--- a/src/control_node/voter_group_manager.cc
+++ b/src/control_node/voter_group_manager.cc
@@ -147,8 +147,9 @@
   co_return any_unfit;
 }
 
-// A machine that was left out of a view while it was away is told so: it wipes itself and is a spare. Until a
-// quorum has the view installed, the joint view before it may still need what the machine holds.
+// A machine that was left out of a view while it was away gets that view installed: it wipes itself and is a
+// spare. Until a quorum has the view installed, the joint view before it may still need what the machine
+// holds.
 task<> voter_group_manager::dismiss(voter_info voter, view agreed) {
   auto self = shared_from_this();
   auto deadline = self->context_->runtime.now() + agreement_timeout;
--- a/src/engine/completion.cc
+++ b/src/engine/completion.cc
@@ -98,7 +98,7 @@
     }
   }
 
-  // A turn whose finish was told is whole, even if the words behind it were lost.
+  // A turn whose finish reason has come is complete, even if what follows it was lost.
   void fail(completion_failure why) {
     if (last.finish.empty())
       ready.push_back(std::move(why));
--- a/src/engine_stand_in/node_state.h
+++ b/src/engine_stand_in/node_state.h
@@ -34,7 +34,7 @@
   microseconds arrived = 0;
   json transfer;                    // its kv_transfer_params
   std::vector<std::string> hashes;  // of the prompt's whole blocks
-  run seen;                         // what the watcher was told when it came
+  run seen;                         // what the watcher was given when it came
 };
 
 struct node::state : std::enable_shared_from_this<node::state> {
--- a/src/herontallyctl/commands.cc
+++ b/src/herontallyctl/commands.cc
@@ -14,31 +14,31 @@
 
 std::string help() {
   return "herontallyctl: operates a herontally site\n\n"
-         "Usage: herontallyctl --core IP:PORT[,IP:PORT...] [--token TOKEN] [--door IP:PORT] [--timeout "
+         "Usage: herontallyctl --core IP:PORT[,IP:PORT...] [--token TOKEN] [--proxy IP:PORT] [--timeout "
          "SECONDS] "
          "COMMAND\n\n"
          "Commands:\n"
-         "  get                        print the desired state and its version\n"
-         "  apply FILE                 put a whole desired state; expects the version read just before\n"
+         "  get                        print the configuration and its version\n"
+         "  apply FILE                 put a whole configuration; expects the version read just before\n"
          "  patch FILE                 lay a JSON merge patch over it\n"
          "  diff FILE                  show as a JSON patch what apply would change\n"
          "  watch                      print each new version as it comes, until interrupted\n"
          "  members                    the system's nodes, as one core knows them\n"
-         "  engines                    the engine list that is handed on as news\n"
+         "  engines                    the engine list that the nodes have\n"
          "  evacuate ZONE              no more requests to the zone's engines\n"
          "  return ZONE                end the evacuation; engines warm up again\n"
          "  retire NODE                start moving a storage machine's copies away\n"
          "  progress NODE              how far that is\n"
          "  finish NODE                refused until three copies of everything stand elsewhere\n"
-         "  ledger PARTNER PROGRAM     one program's budget and history (needs --door)\n"
+         "  ledger PARTNER PROGRAM     one program's budget and history (needs --proxy)\n"
          "  bootstrap CORES STORES     once for a new site: inner addresses, with commas between\n\n"
          "With --expect VERSION, apply and patch expect that version instead of the one read just before.\n\n"
          "Exit codes: 0 done, 1 refused, 2 bad usage, 3 nothing reached, 4 another change came first,\n"
-         "            5 faulty desired state, 6 result unknown\n\n"
+         "            5 faulty configuration, 6 result unknown\n\n"
          "Examples:\n"
          "  herontallyctl --core 127.0.0.1:7102 --token \"$TOKEN\" apply examples/swanreach/desired.json\n"
          "  herontallyctl --core 127.0.0.1:7102 --token \"$TOKEN\" evacuate perth-b\n"
-         "  herontallyctl --core 127.0.0.1:7102 --door 127.0.0.1:7302 ledger swanreach exchange:42\n";
+         "  herontallyctl --core 127.0.0.1:7102 --proxy 127.0.0.1:7302 ledger swanreach exchange:42\n";
 }
 
 namespace {
@@ -147,7 +147,7 @@
 
 task<int> ledger(runtime::handle runtime, setting given, std::string partner, std::string program) {
   if (given.proxies.empty()) {
-    fprintf(stderr, "herontallyctl: --door is missing\n");
+    fprintf(stderr, "herontallyctl: --proxy is missing\n");
     co_return usage;
   }
   given.cores = given.proxies;
--- a/src/herontallyctl/main.cc
+++ b/src/herontallyctl/main.cc
@@ -5,7 +5,7 @@
 #include "settings/settings.h"
 
 ABSL_FLAG(std::string, core, "", "HTTP addresses of cores, with commas between");
-ABSL_FLAG(std::string, door, "", "HTTP address of a proxy");
+ABSL_FLAG(std::string, proxy, "", "HTTP address of a proxy");
 ABSL_FLAG(std::string, token, "", "operator's bearer token");
 ABSL_FLAG(double, timeout, 10, "seconds to wait for an answer");
 ABSL_FLAG(std::int64_t, expect, -1, "version that the change expects");
@@ -29,7 +29,7 @@
   if (rest.empty()) settings::end_with("herontallyctl", {"COMMAND", "is missing; see --help"});
   herontallyctl::setting given;
   given.cores = split(absl::GetFlag(FLAGS_core), "--core");
-  given.proxies = split(absl::GetFlag(FLAGS_door), "--door");
+  given.proxies = split(absl::GetFlag(FLAGS_proxy), "--proxy");
   given.token = absl::GetFlag(FLAGS_token);
   given.timeout_seconds = absl::GetFlag(FLAGS_timeout);
   if (given.timeout_seconds <= 0 || given.timeout_seconds > 600)
--- a/src/ledger/conversation_ledger.cc
+++ b/src/ledger/conversation_ledger.cc
@@ -71,7 +71,7 @@
     return true;
   }
   decision.status = reservation_status::budget_spent;
-  if (broken("told")) return false;
+  if (broken("refused")) return false;
   if (was_refused(now, with.request.turn)) return true;
   if (now.refused_archive.empty()) return false;
   auto page = with.pages.find(now.refused_archive);
@@ -122,7 +122,7 @@
       co_return attempt.result;
     }
     auto refused = co_await was_archived_as_refused(attempt.needed_page, request.turn, deadline);
-    // Without the pages nobody knows whether this turn was told that it never runs.
+    // Without the pages nobody knows whether this turn was refused for good.
     if (!refused) co_return reservation_result{};
     pages[attempt.needed_page] = *refused;
   }
--- a/src/ledger/program_ledger.h
+++ b/src/ledger/program_ledger.h
@@ -27,7 +27,7 @@
 enum class chain_status {
   found,
   missing,      // on a quorum's word
-  unreachable,  // it can't be told now
+  unreachable,  // it can't be read now
 };
 struct chain_result {
   chain_status status = chain_status::unreachable;
--- a/src/load_generator/load.cc
+++ b/src/load_generator/load.cc
@@ -91,7 +91,7 @@
       prompt += "q" + std::to_string(here.runtime.draw(10000)) + " ";
     std::string turn = "t" + std::to_string(number);
     bool complete = false;
-    // A client comes back when it is told to, a few times.
+    // A client retries after the time that the rejection names, a few times.
     for (int attempt = 0; attempt < 4 && !complete; ++attempt) {
       if (here.observer.begin) {
         seen_turn asked;
@@ -155,7 +155,8 @@
     auto gap = static_cast<microseconds>(-std::log(1 - unit) / choice.requests_per_second * second);
     co_await runtime.sleep(std::min<microseconds>(gap, second));
   }
-  // Until the last client is through: each comes back up to three times, when it is told to.
+  // Until the last client is through: each retries up to three times, after the time that the rejection
+  // names.
   auto latest = runtime.now() + static_cast<microseconds>((choice.timeout_seconds * 4 + 130) * second);
   while (here.counts->under_way > 0 && runtime.now() < latest) co_await runtime.sleep(50 * millisecond);
   auto& counts = *here.counts;
--- a/src/load_generator/main.cc
+++ b/src/load_generator/main.cc
@@ -5,7 +5,7 @@
 #include "runtime/event_loop.h"
 #include "settings/settings.h"
 
-ABSL_FLAG(std::string, doors, "", "HTTP addresses of proxies, with commas between");
+ABSL_FLAG(std::string, proxies, "", "HTTP addresses of proxies, with commas between");
 ABSL_FLAG(std::string, shape, "swanreach", "swanreach or zastavica");
 ABSL_FLAG(double, requests_per_second, 20, "programs begun each second");
 ABSL_FLAG(double, seconds, 10, "how long new programs are begun");
@@ -18,21 +18,21 @@
   auto rest = settings::parse_flags(
       count, arguments,
       "load_generator: offers a partner's traffic to proxies and reports what came back\n\n"
-      "Usage: load_generator --doors A,B,... [--shape swanreach|zastavica]\n"
+      "Usage: load_generator --proxies A,B,... [--shape swanreach|zastavica]\n"
       "       [--requests_per_second N] [--seconds N] [--crowd_at_second N] [--crowd N]\n\n"
       "The report is JSON. Exit code 1 when a stream was odd or nothing was complete.\n\n"
-      "Example:\n  load_generator --doors 127.0.0.1:7302,127.0.0.1:7304 --seconds 20\n");
+      "Example:\n  load_generator --proxies 127.0.0.1:7302,127.0.0.1:7304 --seconds 20\n");
   if (!rest.empty()) settings::end_with("load_generator", {rest[0], "is not expected"});
   load_generator::options choice;
-  std::string text = absl::GetFlag(FLAGS_doors);
+  std::string text = absl::GetFlag(FLAGS_proxies);
   for (std::size_t begin = 0; begin < text.size();) {
     auto end = std::min(text.find(',', begin), text.size());
     choice.proxies.push_back(text.substr(begin, end - begin));
     if (!settings::is_address(choice.proxies.back()))
-      settings::end_with("load_generator", {"--doors", "must list ip:port"});
+      settings::end_with("load_generator", {"--proxies", "must list ip:port"});
     begin = end + 1;
   }
-  if (choice.proxies.empty()) settings::end_with("load_generator", {"--doors", "is missing"});
+  if (choice.proxies.empty()) settings::end_with("load_generator", {"--proxies", "is missing"});
   choice.shape = absl::GetFlag(FLAGS_shape);
   if (choice.shape != "swanreach" && choice.shape != "zastavica")
     settings::end_with("load_generator", {"--shape", "must be swanreach or zastavica"});
--- a/src/membership/failure_detector.cc
+++ b/src/membership/failure_detector.cc
@@ -68,7 +68,7 @@
   for (auto& update : reply->updates) here->apply(update);
   if (!full || reply->checksum == here->checksum()) co_return true;
   // We have applied all that it knows, so that it lacks something of ours; a node of an older version, which
-  // says no checksum, is always told.
+  // says no checksum, always gets all entries.
   rpc::probe_request rest{"", false, here->choose_updates(true), 0};
   auto taken = co_await here->endpoint.call(std::move(address), std::move(rest), timeout);
   co_return std::holds_alternative<rpc::probe_reply>(taken);
--- a/src/platform_protocol/adapter.h
+++ b/src/platform_protocol/adapter.h
@@ -118,7 +118,7 @@
   std::function<request_metadata(const std::map<std::string, std::string>& headers)> read_request;
   std::function<response_metadata(int status, const std::map<std::string, std::string>& headers)>
       read_response;
-  // Lays what the next hop must be told over the request's own fields.
+  // Sets the fields that the next hop needs over the request's own.
   std::function<void(std::map<std::string, std::string>& headers, const std::string& engine,
                      std::int64_t time_left, std::int64_t urgency)>
       address_request;
--- a/src/prefix/prefix.h
+++ b/src/prefix/prefix.h
@@ -1,4 +1,4 @@
-// Which engine holds which prefix: guessed from our own traffic, aged, and doubted when engines say
+// Which engine holds which prefix: guessed from our own traffic, aged, and corrected when engines say
 // otherwise.
 #pragma once
 #include <cstdint>
--- a/src/proxy/config_follower.cc
+++ b/src/proxy/config_follower.cc
@@ -43,7 +43,7 @@
   shared.config = configuration::snapshot_of(*content);
   shared.trace.add(content->revision, "in force", "agent");
   shared.logger.info("configuration in force", {{"revision", content->revision}});
-  shared.logger.gauge("herontally_desired_revision", static_cast<double>(content->revision));
+  shared.logger.gauge("herontally_configuration_revision", static_cast<double>(content->revision));
   shared.capacity.notify_all();
   return true;
 }
@@ -92,7 +92,7 @@
     else
       co_await shared->runtime.sleep(retry_pause);
     auto age_milliseconds = (shared->runtime.now() - shared->fresh_at) / millisecond;
-    shared->logger.gauge("herontally_news_age_milliseconds", static_cast<double>(age_milliseconds));
+    shared->logger.gauge("herontally_configuration_age_milliseconds", static_cast<double>(age_milliseconds));
     shared->logger.gauge("herontally_fresh", shared->is_fresh() ? 1 : 0);
   }
 }
--- a/src/proxy/context.cc
+++ b/src/proxy/context.cc
@@ -64,7 +64,7 @@
 }
 
 void context::count_rejection(const std::string& reason) const {
-  logger.count("herontally_drops_total{reason=\"" + reason + "\"}");
+  logger.count("herontally_rejections_total{reason=\"" + reason + "\"}");
 }
 
 int context::retry_after(std::int64_t least) const {
--- a/src/proxy/idempotent_call.cc
+++ b/src/proxy/idempotent_call.cc
@@ -142,7 +142,7 @@
   if (outcome.execution == call_execution::answered) {
     bool kept = co_await self->store_answer(record_key, record, outcome.response, terms);
     shared->logger.count("herontally_calls_total{how=\"done\"}");
-    // The answer is true either way; without a kept record a repeated call will be told "may have run".
+    // The answer is true either way; without a kept record a repeated call will be answered "may have run".
     reply_answer(out, outcome.response.status, content_type_of(outcome.response), outcome.response.body,
                  kept ? "new" : "unstored");
     co_return step::answered;
--- a/src/proxy/platform_ingress.h
+++ b/src/proxy/platform_ingress.h
@@ -14,7 +14,7 @@
   // Hands an update from the agent to the router. `changed`: it brought a new configuration.
   void take_update(const rpc::config_update_reply& reply, bool changed);
   // Ends once nothing has been in flight for a moment: clients that still hold a connection may send another
-  // request on it, which is served then and told to be the last.
+  // request on it, which is served then and marked as the last.
   task<> drain();
 
  private:
--- a/src/proxy/turn_attempt.cc
+++ b/src/proxy/turn_attempt.cc
@@ -118,7 +118,7 @@
   shared.prefixes.forget(plan_.destination);
   bool not_sent = !failed.ran && failed.status == 0;
   if (!not_sent) return;
-  // Not one byte reached it, so that this attempt has told no engine anything.
+  // Not one byte reached it, so that no engine has heard of this attempt.
   progress_->engine_heard = engine_heard_before_;
   shared.engines.failed(plan_.destination);
 }
--- a/src/proxy/turn_handler.cc
+++ b/src/proxy/turn_handler.cc
@@ -384,7 +384,7 @@
            {{"tokens", tokens}, {"spent", turn->record.spent + tokens}, {"length", turn->record.length + 1}});
 }
 
-// What was put out is spent. The client is told first; the ledger's answer changes nothing for it.
+// What was put out is spent. The client is answered first; the ledger's answer changes nothing for it.
 task<> turn_handler::abort(reserved_pointer turn, attempt_outcome outcome) {
   auto shared = context_;
   shared->logger.count("herontally_turns_total{how=\"cut\"}");
--- a/src/reconfiguration/view_install.h
+++ b/src/reconfiguration/view_install.h
@@ -11,7 +11,7 @@
 runtime::task<bool> install_at(rpc::endpoint endpoint, voter_info voter, view chosen);
 
 // Installs a chosen view until a quorum of it has it; before that nothing may rely on the view. The `leaving`
-// voters are told too, once, without waiting for them: they wipe themselves.
+// voters are notified too, once, without waiting for them: they wipe themselves.
 runtime::task<bool> install_at_quorum(proposer group, view chosen, std::vector<voter_info> leaving,
                                       runtime::microseconds deadline);
 
--- a/src/replication/acceptor.cc
+++ b/src/replication/acceptor.cc
@@ -50,7 +50,7 @@
 // Why a vote is refused before it is queued; `none`: it isn't. The reply also names the installed view.
 void check_vote(const replica& self, const rpc::vote_request& request, rpc::vote_reply& reply) {
   reply.status = check_identity(self, request.voter);
-  // Only the view that this voter has installed counts: whoever has another one is told which.
+  // Only the view that this voter has installed counts: whoever has another one gets it in the reply.
   bool other_view = request.view != self.current_view.number && !broken("view");
   if (reply.status == reply_status::none && other_view) reply.status = reply_status::view_mismatch;
   if (!self.current_view.voters.empty()) reply.view = to_text(self.current_view);
--- a/src/router/attempt.cc
+++ b/src/router/attempt.cc
@@ -223,7 +223,7 @@
     if (!one->head_sent) one->out->start(200, answer);
     one->head_sent = true;
   };
-  // The head waits for the first event: until then a failure can still be told in full.
+  // The head waits for the first event: until then a failure can still get a response of its own.
   while (true) {
     auto next = co_await stream->next(std::max<microseconds>(1, one->deadline - self->runtime.now()));
     if (one->client_gone) co_return attempt_outcome::client_gone;
--- a/src/router/request_router.h
+++ b/src/router/request_router.h
@@ -33,7 +33,7 @@
   void set_nodes(std::int64_t count, const node_group& group);
   // Whether requests are served. Before, they wait for a moment and are then rejected.
   bool ready() const;
-  // No more new connections: each client is told to open its next one elsewhere.
+  // No more new connections: each response asks the client to open its next one elsewhere.
   void drain();
   // The process is about to end: new requests are rejected before any engine hears of them.
   void close();
--- a/src/runtime/backend.h
+++ b/src/runtime/backend.h
@@ -45,7 +45,8 @@
   std::function<bool()> closed;
   std::function<std::size_t()> backlog;
   std::function<void()> cut;
-  // The client's side is told to open another connection for its next request; before the head goes out.
+  // Sends "Connection: close", so that the client opens another one for its next request. To be called before
+  // the head goes out.
   std::function<void()> last_on_connection;
   // Called once when the client's connection ends before the answer does.
   std::function<void(std::function<void()>)> on_gone;
--- a/src/runtime/http_client_connection.cc
+++ b/src/runtime/http_client_connection.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-// The answer is told from copies: whoever is told may cancel, and this connection is gone then.
+// The handler gets copies: it may cancel the request, which destroys this connection.
 void tell(client_connection* connection) {
   auto part = connection->part->shared_from_this();
   auto number = connection->running;
@@ -63,7 +63,7 @@
 bool emit(http_client_part* part, std::uint64_t request, http_event event) {
   auto found = part->requests.find(request);
   if (found == part->requests.end()) return false;
-  // Held here, since the one who is told may give the request up meanwhile.
+  // Held here, since the handler may cancel the request meanwhile.
   auto notify = found->second->notify;
   if (std::holds_alternative<http_end>(event) || std::holds_alternative<http_failure>(event))
     part->requests.erase(found);
@@ -86,7 +86,7 @@
 void send_request(client_connection* connection) {
   auto& request = *connection->part->requests[connection->running];
   // Straight to the kernel, which nearly always takes all; waiting for the loop would cost three calls more.
-  // An error is left for the loop to find, so that nobody is told from within http_open.
+  // An error is left for the loop to find, so that no handler is called from within http_open.
   auto taken = send(bufferevent_getfd(connection->stream), request.bytes.data(), request.bytes.size(),
                     MSG_NOSIGNAL | MSG_DONTWAIT);
   std::size_t gone = taken > 0 ? static_cast<std::size_t>(taken) : 0;
--- a/src/runtime/http_connection_pool.h
+++ b/src/runtime/http_connection_pool.h
@@ -27,7 +27,7 @@
   http_head head;
   std::string body;
   bool value_seen = false;   // of the field, even an empty one
-  bool head_is_due = false;  // its head hasn't been told yet
+  bool head_is_due = false;  // its handler hasn't had the head yet
   bool passed_over = false;  // 1xx, or another request's
   bool delimited = false;    // by a length or by chunks
   bool closing = false;
--- a/src/runtime/http_response_reader.cc
+++ b/src/runtime/http_response_reader.cc
@@ -80,7 +80,7 @@
     if (answer.passed_over) connection->reusable = false;
   }
   answer.head_is_due = !answer.passed_over;
-  // To HEAD comes no body, whatever length is told.
+  // To HEAD comes no body, whatever Content-Length says.
   return request.method == "HEAD" ? 1 : 0;
 }
 
--- a/src/runtime/http_server.cc
+++ b/src/runtime/http_server.cc
@@ -13,7 +13,7 @@
 namespace herontally::runtime {
 
 http_server_part::~http_server_part() {
-  // Nobody is told any more that clients are gone.
+  // No on_gone is called any more.
   for (auto& [connection, entry] : connections) evhttp_connection_set_closecb(connection, nullptr, nullptr);
   connections.clear();
   for (auto& entry : stopped) evhttp_free(entry->server);
--- a/src/runtime/http_server_parts.h
+++ b/src/runtime/http_server_parts.h
@@ -53,7 +53,7 @@
 
 std::shared_ptr<http_writer> make_http_writer(const std::shared_ptr<http_server_part>& part,
                                               evhttp_request* request);
-// The exchange is told once when its client is gone.
+// The exchange's on_gone is called once, when its client has gone.
 void watch_client(const std::shared_ptr<server_exchange>& exchange);
 server_connection* connection_of(http_server_part* part, evhttp_connection* connection);
 
--- a/src/settings/flags.cc
+++ b/src/settings/flags.cc
@@ -2,6 +2,8 @@
 #include <stdio.h>
 #include <stdlib.h>
 
+#include <map>
+
 #include "settings/settings.h"
 
 namespace herontally::settings {
@@ -11,6 +13,9 @@
   exit(2);
 }
 
+// Flags that were renamed, and what they are called now.
+static const std::map<std::string, std::string> renamed_flags{{"door", "proxy"}, {"doors", "proxies"}};
+
 static std::string base_name(const std::string& path) { return path.substr(path.rfind('/') + 1); }
 
 std::vector<std::string> parse_flags(int count, char** words, const std::string& usage) {
@@ -29,6 +34,9 @@
     auto equals = word.find('=');
     std::string flag = word.substr(2, equals == std::string::npos ? std::string::npos : equals - 2);
     auto* found = absl::FindCommandLineFlag(flag);
+    auto renamed = renamed_flags.find(flag);
+    if (!found && renamed != renamed_flags.end())
+      end_with(program, {"--" + flag, "is called --" + renamed->second + " now"});
     if (!found) end_with(program, {"--" + flag, "is not a flag; see --help"});
     std::string value;
     if (equals != std::string::npos)
--- a/src/simulator/faults.h
+++ b/src/simulator/faults.h
@@ -12,7 +12,7 @@
   void begin(const std::string& kind);
   // Ends what still goes on: all is healed, woken and booted.
   void end_all();
-  // A client or operator was told that something is done.
+  // A client or operator got an acknowledgement.
   void reply_received();
   const std::set<std::string>& gone() const;  // machines that never come back
 
--- a/src/simulator/faults_aimed.cc
+++ b/src/simulator/faults_aimed.cc
@@ -35,7 +35,7 @@
 
 void faults::state::add_machine() {
   std::string role = pick({"proxy", "control_node", "storage_node"});
-  std::string name = (role == "proxy"          ? "door-x"
+  std::string name = (role == "proxy"          ? "edge-x"
                       : role == "control_node" ? "core-x"
                                                : "store-x") +
                      std::to_string(++spares);
--- a/src/simulator/faults_site.cc
+++ b/src/simulator/faults_site.cc
@@ -85,7 +85,7 @@
 // One edge machine hears nothing any more, while the state is changed and clients still reach its proxy.
 void faults::state::make_stale() {
   auto agent = pick(target.of_role("agent"));
-  tell("news cut off from " + agent);
+  tell("configuration updates cut off from " + agent);
   auto others = ours();
   std::erase_if(others, [&](auto& name) { return target.role_of(name) == "proxy" || name == agent; });
   for (auto& other : others) {
--- a/src/simulator/faults_state.h
+++ b/src/simulator/faults_state.h
@@ -92,8 +92,8 @@
     for (auto& engine : target.of_role("engine")) others.push_back(engine);
     others.push_back("callers");
     // An agent and its proxy stand on one machine; nothing cuts them from each other.
-    std::string beside = name.rfind("door", 0) == 0    ? "agent" + name.substr(4)
-                         : name.rfind("agent", 0) == 0 ? "door" + name.substr(5)
+    std::string beside = name.rfind("edge", 0) == 0    ? "agent" + name.substr(4)
+                         : name.rfind("agent", 0) == 0 ? "edge" + name.substr(5)
                                                        : "";
     std::erase_if(others, [&](auto& other) { return w().draw(2) == 0 || other == beside; });
     bool both = w().draw(2);
--- a/src/simulator/measure.cc
+++ b/src/simulator/measure.cc
@@ -132,7 +132,7 @@
 // From a change's sending to its acknowledgement, and until the last proxy has it in force.
 void measure_in_force() {
   printf(
-      "| doors | changes | acknowledged p50 ms | most ms | last door after the acknowledgement, most ms "
+      "| proxies | changes | acknowledged p50 ms | most ms | last proxy after the acknowledgement, most ms "
       "|\n|---|---|---|---|---|\n");
   for (int edges : {3, 12, 60}) {
     world where(11);
@@ -155,11 +155,11 @@
       where.run_until([&] { return done; }, 10 * rt::second);
       acknowledged.push_back(static_cast<double>(where.now() - begun) / 1000);
       auto acked = where.now();
-      auto newest = place.metric("core-1", "herontally_desired_revision");
+      auto newest = place.metric("core-1", "herontally_configuration_revision");
       where.run_until(
           [&] {
             for (auto& proxy : place.of_role("proxy"))
-              if (place.metric(proxy, "herontally_desired_revision") < newest) return false;
+              if (place.metric(proxy, "herontally_configuration_revision") < newest) return false;
             return true;
           },
           5 * rt::second);
@@ -174,7 +174,7 @@
 // What the control plane costs when nothing happens.
 void measure_control() {
   const char* kinds[] = {"probe", "news_ask", "voter_ask", "in_force"};
-  printf("| doors | messages/s in all | bytes/s in all | messages/s per machine | asked/s per machine:");
+  printf("| proxies | messages/s in all | bytes/s in all | messages/s per machine | asked/s per machine:");
   for (auto* kind : kinds) printf(" %s |", kind);
   printf("\n|---|---|---|---|---|---|---|---|\n");
   for (int edges : {3, 12, 60}) {
--- a/src/simulator/measure_site.cc
+++ b/src/simulator/measure_site.cc
@@ -92,7 +92,7 @@
 
 void measure_spread() {
   printf(
-      "| doors | programs/s | turns | per engine least | median | most | per door least | median | most | "
+      "| proxies | programs/s | turns | per engine least | median | most | per proxy least | median | most | "
       "refusals |\n"
       "|---|---|---|---|---|---|---|---|---|---|\n");
   for (int edges : {6, 60})
--- a/src/simulator/oracle.h
+++ b/src/simulator/oracle.h
@@ -1,4 +1,4 @@
-// Outside the nodes: is told what clients, engines and operators saw, and checks the never-rules by it.
+// Outside the nodes: is given what clients, engines and operators saw, and checks the never-rules by it.
 #pragma once
 #include <map>
 #include <nlohmann/json.hpp>
@@ -55,7 +55,7 @@
   // The first of our nodes, whichever, says that it knows.
   void leaving_learned(const std::string& engine);
   void acknowledged(std::int64_t marker, std::int64_t revision);
-  // A node that says it is ready, or a core that was asked, told this revision.
+  // A node that says it is ready, or a core that was asked, reported this revision.
   void revision_seen(const std::string& node, std::int64_t revision, microseconds asked);
   // Since the ask that was then granted.
   void evacuation_asked(const std::string& zone, microseconds asked);
--- a/src/simulator/oracle_chain.cc
+++ b/src/simulator/oracle_chain.cc
@@ -68,7 +68,7 @@
           tokens(what.prompt.begin() + static_cast<std::ptrdiff_t>(expected.size()), what.prompt.end());
       if (rest != ids_of(continuation(expected, static_cast<std::int64_t>(rest.size())))) continue;
       std::string title = name + " t" + std::to_string(number);
-      if (turn.refused) fail("spent", title + " ran after it was told that its budget is spent");
+      if (turn.refused) fail("spent", title + " ran after it was refused for a spent budget");
       if (start != program.turns.begin()) check_cut(name, program, start->first, what);
       auto keep = offered[marker].given.keep_seconds;
       turn.keep_seconds = turn.keep_seconds < 0 ? keep : std::min(turn.keep_seconds, keep);
--- a/src/simulator/probes.cc
+++ b/src/simulator/probes.cc
@@ -45,7 +45,7 @@
   }
   // A last answer that came too late is too late.
   if (!turn_done || !call_done || where.now() > deadline)
-    judge->fail("service", "door " + proxy + " does not serve within 12 s (" + tail + "): turn " +
+    judge->fail("service", "proxy " + proxy + " does not serve within 12 s (" + tail + "): turn " +
                                (turn_done ? "yes" : "no") + ", call " + (call_done ? "yes" : "no"));
   ++*ended;
 }
--- a/src/simulator/site.h
+++ b/src/simulator/site.h
@@ -70,12 +70,12 @@
   // Called once, when an engine next tells of such an event.
   void trap(const std::string& what, std::function<void(const std::string& engine)> action);
 
-  // The desired state whose prefixes and paths name this marker.
+  // The configuration whose prefixes and paths name this marker.
   nlohmann::json document(std::int64_t marker) const;
   offered_state offered(std::int64_t marker) const;
   herontally::runtime::task<operator_response> operate(std::string core, std::string method, std::string path,
                                                        std::string body, std::string expected);
-  // Applies the next marker through some core; the oracle is told of what was acknowledged.
+  // Applies the next marker through some core; the oracle is notified of what was acknowledged.
   herontally::runtime::task<bool> apply_next(std::string core);
   // The same, by one core after the other, until one has acknowledged it.
   herontally::runtime::task<> apply_until_done();
--- a/src/simulator/world_http_writer.cc
+++ b/src/simulator/world_http_writer.cc
@@ -82,7 +82,7 @@
     exchange->on_gone = nullptr;
     if (!std::exchange(exchange->replied, true)) send(rt::http_failure{true}, 0);
   };
-  // Each exchange has a connection of its own here; who keeps one for several requests is told.
+  // Each exchange has a connection of its own here; who keeps one for several requests gets on_gone.
   writer->last_on_connection = [exchange] { exchange->last = true; };
   writer->on_gone = [weak, exchange](std::function<void()> work) {
     exchange->on_gone = std::move(work);
--- a/src/storage/compaction.cc
+++ b/src/storage/compaction.cc
@@ -115,7 +115,7 @@
   self->sequence = 0;
   self->log_bytes = 0;
   self->must_compact = false;
-  self->logger.count("herontally_disk_folds_total");
+  self->logger.count("herontally_disk_compactions_total");
   co_return std::nullopt;
 }
 
--- a/src/storage_node/conversation_expiry.cc
+++ b/src/storage_node/conversation_expiry.cc
@@ -74,7 +74,7 @@
       return ledger::to_text(*now);
     };
     co_await group.change(key, shrink, runtime.now() + 2 * second, true);
-    group.endpoint().logger().count("herontally_receipts_shrunk_total");
+    group.endpoint().logger().count("herontally_call_records_expired_total");
   }
 }
 
--- a/tests/bad_input.py
+++ b/tests/bad_input.py
@@ -4,14 +4,14 @@
 folder, build = sys.argv[1], sys.argv[2]
 fleet = json.load(open(folder + "/fleet.json"))
 nodes, site = fleet["nodes"], fleet["site"]
-door = next(n["http"] for n in nodes.values() if n["role"] == "proxy")
+proxy = next(n["http"] for n in nodes.values() if n["role"] == "proxy")
 core = next(n["http"] for n in nodes.values() if n["role"] == "control_node")
 program, route = {"swanreach": ("exchange", "labels"), "zastavica": ("rollout", "audit-pulls")}[site]
 ANY, OWN, OTHER = "fleet-operator-token", site + "-operator-token", "nobody-knows-this"
 
 
 def ask(*words, **more):
-    # A door or core that is busy says when to come back, and is asked again.
+    # A proxy or core that is busy says when to come back, and is asked again.
     for _ in range(30):
         got = ask_once(*words, **more)
         if got[0] != 503:
@@ -38,24 +38,24 @@
 
 turns = "/v1/partners/%s/programs/%s:x/turns" % (site, program)
 calls = "/v1/partners/%s/calls/%s" % (site, route)
-expect("malformed JSON", ask(door, "POST", turns, b"{nonsense"), 400, "no")
-expect("no prompt", ask(door, "POST", turns, {"turn": "t"}), 400, "no")
-expect("bad turn name", ask(door, "POST", turns, {"turn": "a b", "prompt": "x"}), 400, "no")
-expect("bad max_tokens", ask(door, "POST", turns, {"max_tokens": 0, "prompt": "x"}), 400, "no")
-expect("unknown partner", ask(door, "POST", turns.replace(site, "nobody"), {"prompt": "x"}), 404, "no")
-expect("unknown program", ask(door, "POST", turns.replace(program, "nothing"), {"prompt": "x"}), 404, "no")
-expect("unknown route", ask(door, "POST", calls + "x", {}), 404, "no")
-expect("unknown page", ask(door, "GET", "/etc"), 404)
-expect("no key", ask(door, "POST", calls, {}), 400, "no")
-expect("first call", ask(door, "POST", calls, {"a": 1}, {"Idempotency-Key": "bad-input-1"}), 200)
-again = ask(door, "POST", calls, {"a": 1}, {"Idempotency-Key": "bad-input-1"})
+expect("malformed JSON", ask(proxy, "POST", turns, b"{nonsense"), 400, "no")
+expect("no prompt", ask(proxy, "POST", turns, {"turn": "t"}), 400, "no")
+expect("bad turn name", ask(proxy, "POST", turns, {"turn": "a b", "prompt": "x"}), 400, "no")
+expect("bad max_tokens", ask(proxy, "POST", turns, {"max_tokens": 0, "prompt": "x"}), 400, "no")
+expect("unknown partner", ask(proxy, "POST", turns.replace(site, "nobody"), {"prompt": "x"}), 404, "no")
+expect("unknown program", ask(proxy, "POST", turns.replace(program, "nothing"), {"prompt": "x"}), 404, "no")
+expect("unknown route", ask(proxy, "POST", calls + "x", {}), 404, "no")
+expect("unknown page", ask(proxy, "GET", "/etc"), 404)
+expect("no key", ask(proxy, "POST", calls, {}), 400, "no")
+expect("first call", ask(proxy, "POST", calls, {"a": 1}, {"Idempotency-Key": "bad-input-1"}), 200)
+again = ask(proxy, "POST", calls, {"a": 1}, {"Idempotency-Key": "bad-input-1"})
 expect("repeated call", again, 200)
 assert again[1].get("Receipt") == "stored", again[1]
-expect("other body", ask(door, "POST", calls, {"a": 2}, {"Idempotency-Key": "bad-input-1"}), 422)
+expect("other body", ask(proxy, "POST", calls, {"a": 2}, {"Idempotency-Key": "bad-input-1"}), 422)
 try:
-    status = ask(door, "POST", turns, b"x" * (5 << 20))[0]
+    status = ask(proxy, "POST", turns, b"x" * (5 << 20))[0]
 except (urllib.error.URLError, ConnectionError):
-    status = 413  # the door may close the channel before it has read it all
+    status = 413  # the proxy may close the channel before it has read it all
 assert status == 413, status
 
 token = {"Authorization": "Bearer " + ANY}
@@ -137,6 +137,8 @@
     program_says([build + "/" + name, "--no-such-flag"], 2, "no-such-flag")
     helped = subprocess.run([build + "/" + name, "--help"], stdout=subprocess.PIPE, timeout=20)
     assert helped.returncode == 0 and b"Usage" in helped.stdout, name
+for name, old, new in (("herontallyctl", "--door", "--proxy"), ("load_generator", "--doors", "--proxies")):
+    program_says([build + "/" + name, old, "127.0.0.1:1"], 2, old + " is called " + new)
 program_says([build + "/storage_node", "--settings", "/no/such/file"], 2, "--settings")
 open(settings, "w").write("{")
 program_says([build + "/proxy", "--settings", settings], 2, "--settings")
--- a/tests/fleet_failures.py
+++ b/tests/fleet_failures.py
@@ -41,7 +41,7 @@
     raise AssertionError("%s did not come about in %d s" % (what, patience))
 
 
-def doors():
+def proxies():
     return [node["http"] for node in nodes("proxy").values()]
 
 
@@ -63,8 +63,8 @@
 
     def turn(self, number, patience=60):
         def ask():
-            for door in doors():
-                status, text = http(door, "POST", "/v1/partners/%s/programs/%s:%s/turns" % (site, program, self.name),
+            for proxy in proxies():
+                status, text = http(proxy, "POST", "/v1/partners/%s/programs/%s:%s/turns" % (site, program, self.name),
                                     {"turn": "t%d" % number, "prompt": "word %d" % number, "max_tokens": 8},
                                     timeout=2)
                 if status != 200:
@@ -96,8 +96,8 @@
     codes = set()
     for _ in range(2):
         def ask():
-            for door in doors():
-                status, text = http(door, "POST", "/v1/partners/%s/calls/%s" % (site, route), {"k": key},
+            for proxy in proxies():
+                status, text = http(proxy, "POST", "/v1/partners/%s/calls/%s" % (site, route), {"k": key},
                                     {"Idempotency-Key": key}, timeout=2)
                 if status == 200:
                     return json.loads(text)["code"]
@@ -119,7 +119,7 @@
 
 def load(seconds):
     out = folder + "/load.json"
-    process = subprocess.Popen([build + "/load_generator", "--doors", ",".join(doors()), "--shape", site, "--seconds",
+    process = subprocess.Popen([build + "/load_generator", "--proxies", ",".join(proxies()), "--shape", site, "--seconds",
                                 str(seconds), "--requests_per_second", "6"], stdout=open(out, "w"))
 
     def end():
@@ -150,12 +150,12 @@
 check("begun")
 end_load = load(25)
 
-fleet("freeze", "door-1")
+fleet("freeze", "proxy-1")
 fleet("freeze", "store-1")
-check("a door and a store frozen")
-fleet("wake", "door-1")
+check("a proxy and a store frozen")
+fleet("wake", "proxy-1")
 fleet("wake", "store-1")
-until("doors ready", all_ready)
+until("proxies ready", all_ready)
 check("both awake")
 
 zone = nodes()["core-2"]["zone"]
@@ -165,7 +165,7 @@
 check("zone %s down: %d processes" % (zone, len(lost)))
 for name in lost:
     fleet("start", name)
-until("doors ready", all_ready)
+until("proxies ready", all_ready)
 check("zone back")
 
 # A storage machine loses its disk and is let in again; then another one is retired for a spare.
@@ -236,12 +236,12 @@
 for name in nodes():
     fleet("kill", name)
 fleet("up")
-until("every door serves", all_ready, 40)
+until("every proxy serves", all_ready, 40)
 for talk in talks:
     talk.go_on()
 back = time.time() - lost_at
 assert back < 12, "service was back after %.1f s" % back
-check("total loss: every door back %.1f s after the first kill" % back)
+check("total loss: every proxy back %.1f s after the first kill" % back)
 print("load meanwhile: %d of %d turns complete, %d calls done, drops %s" % (
     report["turns_complete"], report["turns"], report["calls_done"], report["refusals"]))
 print("fleet of %s: all failures met" % site)
--- a/tests/fleet_smoke.sh
+++ b/tests/fleet_smoke.sh
@@ -1,23 +1,11 @@
 #!/usr/bin/env bash
 # A short run of a whole fleet of real processes: traffic while one process of each kind is killed.
 set -euo pipefail
-root="$(cd "$(dirname "$0")/.." && pwd)"
-build="$1"
-site="${2:-swanreach}"
-folder="$(mktemp -d)"
-fleet() { "$root/tools/fleet" --folder "$folder" --build "$build" "$@"; }
-finish() {
-  code=$?
-  if [ $code -ne 0 ]; then tail -n 5 "$folder"/logs/*.log || true; fi
-  fleet down >/dev/null || true
-  rm -rf "$folder"
-  exit $code
-}
-trap finish EXIT
+source "$(dirname "$0")/fleet_common.sh"
 
 fleet up "$site" --edges 3 --log_level WARN
 eval "$(fleet env)"
-"$build/load_generator" --doors "$DOORS" --shape "$site" --seconds 4 --requests_per_second 10 > "$folder/calm.json"
+"$build/load_generator" --proxies "$PROXIES" --shape "$site" --seconds 4 --requests_per_second 10 > "$folder/calm.json"
 
 python3 "$root/tests/bad_input.py" "$folder" "$build"
 herontallyctl() { "$build/herontallyctl" --core "$CORE" --token "$TOKEN" "$@"; }
@@ -30,14 +18,14 @@
 herontallyctl get | grep -q "$zone"
 herontallyctl return "$zone" > /dev/null
 
-"$build/load_generator" --doors "$DOORS" --shape "$site" --seconds 12 --requests_per_second 10 > "$folder/storm.json" &
+"$build/load_generator" --proxies "$PROXIES" --shape "$site" --seconds 12 --requests_per_second 10 > "$folder/storm.json" &
 load=$!
-for node in core-1 store-2 agent-3 door-2; do
+for node in core-1 store-2 agent-3 proxy-2; do
   fleet kill "$node"
 done
 engine=$(fleet status | awk '$2 == "engine_stand_in" { print $1; exit }' || true)
 fleet kill "$engine"
-for node in core-1 store-2 agent-3 door-2 "$engine"; do
+for node in core-1 store-2 agent-3 proxy-2 "$engine"; do
   fleet start "$node"
 done
 wait $load
@@ -48,7 +36,7 @@
 calm = json.load(open(sys.argv[1] + "/calm.json"))
 storm = json.load(open(sys.argv[1] + "/storm.json"))
 assert calm["oddities"] == {} and storm["oddities"] == {}, (calm["oddities"], storm["oddities"])
-# A starved machine may make a door stop for a moment and its clients come back; most must be served all the same.
+# A starved machine may make a proxy stop for a moment and its clients come back; most must be served all the same.
 assert calm["turns_complete"] >= 0.8 * calm["turns"] > 0, calm
 assert calm["calls_done"] >= 0.8 * calm["calls"] > 0, calm
 assert storm["turns_complete"] > 0 and storm["calls_done"] > 0, storm
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -87,7 +87,7 @@
   }
 }
 
-TEST_CASE("a cold engine's cap holds over all doors together, for turns and for pulls") {
+TEST_CASE("a cold engine's cap holds over all proxies together, for turns and for pulls") {
   std::mt19937_64 random(7);
   for (std::int64_t proxies : {1, 3, 12, 60}) {
     for (double age : {0.0, 4.0, 9.0}) {
@@ -112,14 +112,14 @@
           ++engines[0].our_pulls_from;
         }
       }
-      INFO(proxies << " doors, age " << age);
+      INFO(proxies << " proxies, age " << age);
       REQUIRE(turns == placement::ramped(1, 8, age, 10));
       REQUIRE(pulls == placement::ramped(1, 4, age, 10));
     }
   }
 }
 
-TEST_CASE("doors that learned of the engines in different orders hand out no more than the cap") {
+TEST_CASE("proxies that learned of the engines in different orders hand out no more than the cap") {
   // The same engine has another index at each proxy; its cap is shared by its name.
   for (int number = 0; number < 50; ++number) {
     std::int64_t taken = 0;
--- a/tests/site_test.cc
+++ b/tests/site_test.cc
@@ -88,7 +88,7 @@
   REQUIRE(gone.status == 410);
   REQUIRE(gone.ran == "yes");
   REQUIRE(site.sum("engine", "herontally_engine_calls_total") == 1);
-  REQUIRE(site.sum("storage_node", "herontally_receipts_shrunk_total") == 1);
+  REQUIRE(site.sum("storage_node", "herontally_call_records_expired_total") == 1);
 }
 
 TEST_CASE("turns that wait are answered at once when the last usable engine goes") {
@@ -144,7 +144,7 @@
 
 TEST_CASE("an edge that begins anew while no core lives sends nothing to an engine that has been leaving") {
   // When the first look at the platform falls, before or after the peers' list, is the seed's choice.
-  int fresh_doors = 0;
+  int fresh_proxies = 0;
   for (std::uint64_t seed = 1; seed <= 36; ++seed) {
     small_site site({}, seed);
     for (auto& core : site.place.of_role("control_node")) site.world.kill(core, simulator::disk_loss::none);
@@ -152,7 +152,7 @@
     for (auto& each : site.place.of_role("engine"))
       if (each.rfind("model", 0) == 0) site.place.roll_engine(each, "v1");
     site.world.run_for(4500 * millisecond);
-    for (auto name : {"agent-1", "door-1"}) {
+    for (auto name : {"agent-1", "edge-1"}) {
       site.world.kill(name, simulator::disk_loss::none);
       site.place.boot(name);
     }
@@ -162,11 +162,11 @@
     for (int number = 0; number < 120; ++number) {
       site.spawn_turn("exchange:" + std::to_string(number), "t0", out, 0, 1);
       site.world.run_for(20 * millisecond);
-      fresh = fresh || site.place.metric("door-1", "herontally_fresh") == 1;
+      fresh = fresh || site.place.metric("edge-1", "herontally_fresh") == 1;
     }
-    fresh_doors += fresh ? 1 : 0;
+    fresh_proxies += fresh ? 1 : 0;
     CHECK(site.judge.violations().empty());
   }
   // Some proxies hear of too few peers within this time to place anything.
-  REQUIRE(fresh_doors >= 12);
+  REQUIRE(fresh_proxies >= 12);
 }
--- a/tests/storage_memory_test.cc
+++ b/tests/storage_memory_test.cc
@@ -70,7 +70,7 @@
     process.runtime().spawn(write_day(&process, &store, &written));
     process.run();
     REQUIRE(written == record_total);
-    REQUIRE(logger.value("herontally_disk_folds_total") > 5);
+    REQUIRE(logger.value("herontally_disk_compactions_total") > 5);
     auto use = tests::heap_now();
     INFO("live " << use.live - before << ", peak " << use.peak - before);
     REQUIRE(use.live - before < most_live);
