--- a/src/runtime/http_server_connection.cc
+++ b/src/runtime/http_server_connection.cc
@@ -61,7 +61,7 @@
   if (work) work();
 }
 
-// Told from the loop: evhttp may be in the midst of freeing the connection.
+// Called from the loop: evhttp may be in the midst of freeing the connection.
 void post_gone(event_base* base, const std::shared_ptr<server_exchange>& exchange) {
   if (!exchange->request || std::exchange(exchange->gone, true) || !exchange->on_gone) return;
   timeval at_once{0, 0};
--- a/src/simulator/faults_aimed.cc
+++ b/src/simulator/faults_aimed.cc
@@ -20,7 +20,7 @@
   target.callers().spawn([](std::shared_ptr<state> self, std::string name) -> rt::task<> {
     bool may_go = co_await self->target.retire(name);
     if (!may_go) co_return;
-    // Told that it may go, the operators switch it off for good.
+    // Notified that it may go, the operators switch it off for good.
     self->tell(name + " is retired and switched off");
     self->gone.insert(name);
     self->w().at(self->w().now(), [self, name] { self->w().kill(name, disk_loss::all, true); });
--- a/tests/check_glossary_test.py
+++ b/tests/check_glossary_test.py
@@ -60,6 +60,13 @@
         self.assertEqual(self.check("auto x = std::visit(each, one);\n").returncode, 0)
         self.assertEqual(self.check("auto x = our::visit(each, one);\n").returncode, 1)
 
+    def test_a_word_kept_on_the_wire_may_stand_in_a_literal_alone(self):
+        page = PAGE.replace("## Withdrawn", "## Kept on the wire\n\n| word | where |\n|---|---|\n"
+                            "| `visit_ask`, `/v1/gift` | messages, `visit` |\n\n## Withdrawn")
+        self.assertEqual(self.check('auto kind = "visit_ask"; path("/v1/gift");\n', page).returncode, 0)
+        for source in ("int visit_ask;", 'auto x = "visit";', 'f("a", visit_ask, "b");', 'f("visit_answer");'):
+            self.assertEqual(self.check(source + "\n", page).returncode, 1, source)
+
     def test_a_named_file_must_exist(self):
         result = self.check("int good;\n", PAGE.replace("src/a/kept.h", "src/a/gone.h"))
         self.assertEqual(result.returncode, 1)
