--- a/src/router/attempt.cc
+++ b/src/router/attempt.cc
@@ -1,4 +1,4 @@
-// One attempt: the request goes to the planned engine, and its answer back to the client.
+// One attempt: sends the request to the planned engine and forwards its answer to the client.
 #include <absl/cleanup/cleanup.h>
 
 #include "router/request_router_state.h"
@@ -7,16 +7,17 @@
 
 namespace {
 
-// What is left of an answer that nobody needs is read for this long.
+// How long the rest of an unneeded answer is read, so that the connection can be reused.
 constexpr microseconds read_to_end_time = 100 * millisecond;
-// How far past its deadline a complete answer may be held until it is durable; the client is owed its end
-// soon.
-constexpr microseconds keep_grace = 200 * millisecond;
-// A turn is kept for longer than its route says by this, as clocks differ.
+// How far past its deadline a complete answer may be delayed until it is durable; the client is waiting for
+// its end.
+constexpr microseconds store_grace = 200 * millisecond;
+// Added to the route's retention time of a turn, because clocks differ.
 constexpr microseconds retention_margin = 10 * second;
-// And by this, so that the turns of a program that goes on without a long pause need no copy of their chain.
+// Added as well, so that the turns of a program that continues without a long pause need no copy of their
+// chain.
 constexpr microseconds chain_margin = 15 * second;
-// A record beyond this size wouldn't reach the stores: a chain is copied into its last turn up to it.
+// A chain is copied into its last turn only up to this size: a larger record wouldn't reach the stores.
 constexpr std::size_t max_copied_chain = 8u << 20;
 
 // The lower-case names that a Connection header lists.
@@ -34,8 +35,9 @@
 
 bool is_success(int status) { return status >= 200 && status < 300; }
 
-// These statuses would promise what nobody promised.
-bool is_promise(int status) { return status == 429 || status == 503 || status == 408; }
+// Whether a status tells the client that the request was not executed. Without the engine's explicit
+// statement it must not be passed on.
+bool implies_not_run(int status) { return status == 429 || status == 503 || status == 408; }
 
 }  // namespace
 
@@ -52,132 +54,138 @@
   return passed;
 }
 
-runtime::http_request request_router::state::request_for(const exchange& one, const plan& made) const {
+runtime::http_request request_router::state::request_for(const client_exchange& exchange,
+                                                         const plan& attempt_plan) const {
   runtime::http_request request;
-  request.method = one.request.method;
-  request.path = one.request.target.empty() ? one.request.path : one.request.target;
-  request.body = one.body;
-  request.headers = end_to_end(one.request.headers);
-  auto left = (one.deadline - runtime.now()) / millisecond;
-  adapter->address_request(request.headers, made.engine_id, std::max<std::int64_t>(1, left), one.urgency);
-  if (one.tenant) adapter->set_tenant(request.headers, *one.tenant);
+  request.method = exchange.request.method;
+  request.path = exchange.request.target.empty() ? exchange.request.path : exchange.request.target;
+  request.body = exchange.body;
+  request.headers = end_to_end(exchange.request.headers);
+  auto left = (exchange.deadline - runtime.now()) / millisecond;
+  adapter->address_request(request.headers, attempt_plan.engine_id, std::max<std::int64_t>(1, left),
+                           exchange.urgency);
+  if (exchange.tenant) adapter->set_tenant(request.headers, *exchange.tenant);
   request.pooled = true;
-  request.most_connections = made.connections;
-  bool repeatable = one.route.kind == routing::category::idempotent;
-  request.longest_idle = idle.longest(one.service.name, repeatable, runtime.now());
+  request.most_connections = attempt_plan.connections;
+  bool repeatable = exchange.route.kind == routing::category::idempotent;
+  request.longest_idle = idle_limits.max_idle(exchange.service.name, repeatable, runtime.now());
   request.echo_name = adapter->echo_header;
-  request.echo_value = one.metadata.attempt;
+  request.echo_value = exchange.metadata.attempt;
   return request;
 }
 
-void request_router::state::note_failure(const exchange& one, interning::symbol engine,
-                                         const runtime::http_failure& failure) {
+void request_router::state::record_failure(const client_exchange& exchange, interning::symbol engine,
+                                           const runtime::http_failure& failure) {
   engines.failed(engine, !failure.sent, runtime.now());
   bool on_idle_connection = failure.sent && !failure.garbled && failure.idle_before >= 0;
   if (!on_idle_connection) return;
-  // The engine may have forgotten the connection; what was sent may have run all the same.
-  idle.lost(one.service.name, failure.idle_before, runtime.now());
+  // The engine may have dropped the idle connection; the request may have run nevertheless.
+  idle_limits.record_loss(exchange.service.name, failure.idle_before, runtime.now());
   logger.count("herontally_idle_connections_lost_total");
   logger.info("request lost on an idle connection",
-              {{"service", one.service.name}, {"idle_milliseconds", failure.idle_before / millisecond}});
+              {{"service", exchange.service.name}, {"idle_milliseconds", failure.idle_before / millisecond}});
 }
 
-void request_router::state::log_placement(const exchange& one, const plan& made) const {
+void request_router::state::log_placement(const client_exchange& exchange, const plan& attempt_plan) const {
   logger.count("herontally_placements_total");
-  if (made.cached_tokens > 0) logger.count("herontally_placements_kept_total");
-  if (made.source) {
-    // Who could lend the rest is named on the ordinary path; the order to pull is not known here
-    // (docs/platform.md, questions), so that the destination computes what it lacks.
+  if (attempt_plan.cached_tokens > 0) logger.count("herontally_placements_kept_total");
+  if (attempt_plan.source) {
+    // The source is only recorded: the call that makes an engine pull cache from a source is not known here
+    // (docs/platform.md, questions), so that the destination computes the missing tokens.
     logger.count("herontally_sources_total");
     logger.count("herontally_source_tokens_total",
-                 static_cast<double>(made.source_tokens - made.cached_tokens));
+                 static_cast<double>(attempt_plan.source_tokens - attempt_plan.cached_tokens));
   }
-  logger.debug("placed", {{"request", one.metadata.attempt},
-                          {"engine", made.engine_id},
-                          {"attempt", made.attempt},
-                          {"version", made.version},
-                          {"cached", made.cached_tokens},
-                          {"source", made.source.value_or("")}});
+  logger.debug("placed", {{"request", exchange.metadata.attempt},
+                          {"engine", attempt_plan.engine_id},
+                          {"attempt", attempt_plan.attempt},
+                          {"version", attempt_plan.version},
+                          {"cached", attempt_plan.cached_tokens},
+                          {"source", attempt_plan.source.value_or("")}});
 }
 
-task<attempt_outcome> request_router::state::handle_answer(exchange_pointer one, plan made,
+task<attempt_outcome> request_router::state::handle_answer(client_exchange_pointer exchange,
+                                                           plan attempt_plan,
                                                            std::shared_ptr<runtime::http_stream> stream,
                                                            runtime::http_head head) {
   constexpr int misdirected = 421, bad_request = 400, conflict = 409;
   auto self = shared_from_this();
   auto metadata = self->adapter->read_response(head.status, head.headers);
-  one->engine_heard = true;
-  bool other_engine = !metadata.instance.empty() && metadata.instance != made.engine_id;
-  if (head.status == misdirected && other_engine) {
-    self->engines.replaced(made.engine);
+  exchange->reached_engine = true;
+  bool wrong_instance = !metadata.instance.empty() && metadata.instance != attempt_plan.engine_id;
+  if (head.status == misdirected && wrong_instance) {
+    self->engines.replaced(attempt_plan.engine);
     co_return attempt_outcome::wrong_engine;
   }
-  bool promised = metadata.not_run || head.status == misdirected;
-  if (promised && head.status == conflict && one->route.kind == routing::category::keyed) {
+  bool not_run = metadata.not_run || head.status == misdirected;
+  if (not_run && head.status == conflict && exchange->route.kind == routing::category::keyed) {
     co_await self->read_to_end(stream);
     co_return attempt_outcome::in_progress;
   }
-  if (promised && head.status != bad_request) {
-    self->engines.answered(made.engine, metadata, self->runtime.now());
+  if (not_run && head.status != bad_request) {
+    self->engines.answered(attempt_plan.engine, metadata, self->runtime.now());
     co_await self->read_to_end(stream);
     co_return attempt_outcome::not_run;
   }
   bool streams =
-      is_success(head.status) && one->route.kind == routing::category::streaming && metadata.sealed;
+      is_success(head.status) && exchange->route.kind == routing::category::streaming && metadata.sealed;
   auto outcome = attempt_outcome::unknown;
   if (streams)
-    outcome = co_await self->forward_stream(one, stream, end_to_end(head.headers));
+    outcome = co_await self->forward_stream(exchange, stream, end_to_end(head.headers));
   else
-    outcome = co_await self->forward_whole(one, stream, head.status, end_to_end(head.headers));
+    outcome = co_await self->forward_complete(exchange, stream, head.status, end_to_end(head.headers));
   if (outcome == attempt_outcome::answered)
-    self->engines.answered(made.engine, metadata, self->runtime.now());
-  if (outcome == attempt_outcome::unknown || outcome == attempt_outcome::cut)
-    self->engines.failed(made.engine, false, self->runtime.now());
+    self->engines.answered(attempt_plan.engine, metadata, self->runtime.now());
+  if (outcome == attempt_outcome::unknown || outcome == attempt_outcome::stream_cut)
+    self->engines.failed(attempt_plan.engine, false, self->runtime.now());
   co_return outcome;
 }
 
-task<attempt_outcome> request_router::state::handle_first(exchange_pointer one, plan made,
-                                                          std::shared_ptr<runtime::http_stream> stream,
-                                                          runtime::http_event first) {
+task<attempt_outcome> request_router::state::handle_first_event(client_exchange_pointer exchange,
+                                                                plan attempt_plan,
+                                                                std::shared_ptr<runtime::http_stream> stream,
+                                                                runtime::http_event first) {
   auto self = shared_from_this();
   if (auto* head = std::get_if<runtime::http_head>(&first))
-    co_return co_await self->handle_answer(one, std::move(made), stream, std::move(*head));
+    co_return co_await self->handle_answer(exchange, std::move(attempt_plan), stream, std::move(*head));
   auto* failure = std::get_if<runtime::http_failure>(&first);
   bool sent = !failure || failure->sent;
-  one->engine_heard = one->engine_heard || sent;
-  self->note_failure(*one, made.engine, failure ? *failure : runtime::http_failure{});
+  exchange->reached_engine = exchange->reached_engine || sent;
+  self->record_failure(*exchange, attempt_plan.engine, failure ? *failure : runtime::http_failure{});
   co_return sent ? attempt_outcome::unknown : attempt_outcome::not_sent;
 }
 
-task<attempt_outcome> request_router::state::run_attempt(exchange_pointer one, plan made) {
+task<attempt_outcome> request_router::state::run_attempt(client_exchange_pointer exchange,
+                                                         plan attempt_plan) {
   auto self = shared_from_this();
-  auto engine = made.engine;
-  self->log_placement(*one, made);
-  self->engines.sent(engine, made.unread_tokens, self->runtime.now());
+  auto engine = attempt_plan.engine;
+  self->log_placement(*exchange, attempt_plan);
+  self->engines.sent(engine, attempt_plan.unread_tokens, self->runtime.now());
   absl::Cleanup ended = [self, engine] {
     self->engines.ended(engine);
     self->notify_waiting();
   };
-  auto stream =
-      std::make_shared<runtime::http_stream>(self->runtime, made.address, self->request_for(*one, made));
-  one->interrupt = [weak = std::weak_ptr<runtime::http_stream>(stream)] {
-    if (auto here = weak.lock()) here->interrupt();
+  auto stream = std::make_shared<runtime::http_stream>(self->runtime, attempt_plan.address,
+                                                       self->request_for(*exchange, attempt_plan));
+  exchange->interrupt_wait = [weak = std::weak_ptr<runtime::http_stream>(stream)] {
+    if (auto alive = weak.lock()) alive->interrupt();
   };
-  auto first = co_await stream->next(std::max<microseconds>(1, one->deadline - self->runtime.now()));
-  self->engines.begun(engine, made.unread_tokens);
-  auto outcome = attempt_outcome::overdue;
-  if (first && !one->client_gone) outcome = co_await self->handle_first(one, made, stream, std::move(*first));
-  if (one->client_gone) outcome = attempt_outcome::client_gone;
-  if (outcome == attempt_outcome::overdue) one->engine_heard = true;
+  auto first = co_await stream->next(std::max<microseconds>(1, exchange->deadline - self->runtime.now()));
+  self->engines.started_answering(engine, attempt_plan.unread_tokens);
+  auto outcome = attempt_outcome::deadline_exceeded;
+  if (first && !exchange->client_disconnected)
+    outcome = co_await self->handle_first_event(exchange, attempt_plan, stream, std::move(*first));
+  if (exchange->client_disconnected) outcome = attempt_outcome::client_disconnected;
+  if (outcome == attempt_outcome::deadline_exceeded) exchange->reached_engine = true;
   std::move(ended).Invoke();
-  // What the engine has read it keeps for a while.
-  bool read = outcome == attempt_outcome::answered || outcome == attempt_outcome::cut ||
-              outcome == attempt_outcome::client_gone;
-  if (read) self->engines.prefixes().note(engine, made.parts, self->runtime.now());
+  // The engine keeps the prompt that it has read in its cache for a while.
+  bool read = outcome == attempt_outcome::answered || outcome == attempt_outcome::stream_cut ||
+              outcome == attempt_outcome::client_disconnected;
+  if (read) self->engines.prefixes().note(engine, attempt_plan.parts, self->runtime.now());
   co_return outcome;
 }
 
-// Read to its end, an answer that nobody needs leaves the connection fit for the next request.
+// Reads an unneeded answer to its end, so that the connection can be reused for the next request.
 task<> request_router::state::read_to_end(std::shared_ptr<runtime::http_stream> stream) {
   auto self = shared_from_this();
   auto until = self->runtime.now() + read_to_end_time;
@@ -188,89 +196,93 @@
   }
 }
 
-task<attempt_outcome> request_router::state::forward_whole(exchange_pointer one,
-                                                           std::shared_ptr<runtime::http_stream> stream,
-                                                           int status, headers answer) {
+task<attempt_outcome> request_router::state::forward_complete(client_exchange_pointer exchange,
+                                                              std::shared_ptr<runtime::http_stream> stream,
+                                                              int status, headers answer_headers) {
   auto self = shared_from_this();
   runtime::http_response response;
   response.status = status;
-  response.headers = std::move(answer);
+  response.headers = std::move(answer_headers);
   while (true) {
-    auto next = co_await stream->next(std::max<microseconds>(1, one->deadline - self->runtime.now()));
-    if (one->client_gone) co_return attempt_outcome::client_gone;
-    if (!next) co_return attempt_outcome::overdue;
+    auto next = co_await stream->next(std::max<microseconds>(1, exchange->deadline - self->runtime.now()));
+    if (exchange->client_disconnected) co_return attempt_outcome::client_disconnected;
+    if (!next) co_return attempt_outcome::deadline_exceeded;
     if (std::holds_alternative<runtime::http_end>(*next)) break;
     if (std::holds_alternative<runtime::http_failure>(*next)) co_return attempt_outcome::unknown;
     if (auto* piece = std::get_if<runtime::http_piece>(&*next)) response.body += piece->bytes;
   }
   auto metadata = self->adapter->read_response(status, response.headers);
-  // A success counts only under the engine's stamp.
-  bool unstamped = is_success(status) && !metadata.sealed;
-  if (unstamped || is_promise(status)) co_return attempt_outcome::unknown;
-  co_await self->keep_operation_answer(one, response);
+  // A success counts only with the engine's seal.
+  bool unsealed = is_success(status) && !metadata.sealed;
+  if (unsealed || implies_not_run(status)) co_return attempt_outcome::unknown;
+  co_await self->store_operation_answer(exchange, response);
   self->logger.count("herontally_answers_total");
-  one->out->reply(std::move(response));
+  exchange->out->reply(std::move(response));
   co_return attempt_outcome::answered;
 }
 
-// A turn is kept with all turns before it. Each of those goes at a time of its own, so that a turn that would
-// outlive them holds what they said itself, and goes on from none.
-static ledger::turn_record turn_to_keep(const exchange& one, std::int64_t promised_until) {
+// A turn is readable only with all earlier turns of its chain, each of which expires at its own time. A turn
+// that would outlive the chain therefore contains the text of the whole chain and has no previous turn.
+static ledger::turn_record make_turn_record(const client_exchange& exchange, std::int64_t promised_until) {
   ledger::turn_record record;
-  record.id = one.ledger_id(one.metadata.attempt);
+  record.id = exchange.ledger_id(exchange.metadata.attempt);
   record.kept_until = promised_until + chain_margin;
-  bool outlives_chain = one.chain_kept_until < promised_until && one.body.size() <= max_copied_chain;
-  record.previous = outlives_chain ? "" : one.ledger_id(one.metadata.previous);
-  record.input = outlives_chain ? one.body : one.request.body;
+  bool outlives_chain =
+      exchange.chain_expires_at < promised_until && exchange.body.size() <= max_copied_chain;
+  record.previous = outlives_chain ? "" : exchange.ledger_id(exchange.metadata.previous);
+  record.input = outlives_chain ? exchange.body : exchange.request.body;
   return record;
 }
 
-// The answer is complete only once what was said is durable: from its end on the turn may be gone on from.
-task<bool> request_router::state::keep_turn(exchange_pointer one, std::string output) {
+// The answer may end only once the turn is durable: from then on the client may continue from it. True if the
+// turn is stored, or need not be. False: the caller must cut the stream.
+task<bool> request_router::state::store_turn(client_exchange_pointer exchange, std::string output) {
   auto self = shared_from_this();
-  if (!one->route.kept) co_return true;
-  auto record = turn_to_keep(*one, self->runtime.wall() + one->route.keep * millisecond + retention_margin);
+  if (!exchange->route.kept) co_return true;
+  auto record = make_turn_record(
+      *exchange, self->runtime.wall() + exchange->route.keep * millisecond + retention_margin);
   record.output = std::move(output);
-  bool durable = co_await self->programs.keep_turn(std::move(record), one->deadline + keep_grace);
+  bool durable = co_await self->programs.keep_turn(std::move(record), exchange->deadline + store_grace);
   if (!durable) self->logger.count("herontally_turns_not_kept_total");
   co_return durable;
 }
 
-task<attempt_outcome> request_router::state::forward_stream(exchange_pointer one,
+task<attempt_outcome> request_router::state::forward_stream(client_exchange_pointer exchange,
                                                             std::shared_ptr<runtime::http_stream> stream,
-                                                            headers answer) {
+                                                            headers answer_headers) {
   auto self = shared_from_this();
-  event_scanner scanner(one->route.kept);
-  auto send_head = [&one, &answer] {
-    if (!one->head_sent) one->out->start(200, answer);
-    one->head_sent = true;
+  event_scanner scanner(exchange->route.kept);
+  auto send_head = [&exchange, &answer_headers] {
+    if (!exchange->head_sent) exchange->out->start(200, answer_headers);
+    exchange->head_sent = true;
   };
-  // The head waits for the first event: until then a failure can still get a response of its own.
+  // The head is sent with the first piece of the body: until then a failure can still get a response of its
+  // own.
   while (true) {
-    auto next = co_await stream->next(std::max<microseconds>(1, one->deadline - self->runtime.now()));
-    if (one->client_gone) co_return attempt_outcome::client_gone;
+    auto next = co_await stream->next(std::max<microseconds>(1, exchange->deadline - self->runtime.now()));
+    if (exchange->client_disconnected) co_return attempt_outcome::client_disconnected;
     if (next && std::holds_alternative<runtime::http_piece>(*next)) {
       auto& bytes = std::get<runtime::http_piece>(*next).bytes;
       scanner.feed(bytes);
-      one->events = scanner.events();
+      exchange->events = scanner.events();
       send_head();
-      one->out->piece(std::move(bytes));
+      exchange->out->piece(std::move(bytes));
       continue;
     }
     if (next && std::holds_alternative<runtime::http_end>(*next)) break;
-    if (!one->head_sent) co_return next ? attempt_outcome::unknown : attempt_outcome::overdue;
-    // An answer that ends early must look so.
+    if (!exchange->head_sent) co_return next ? attempt_outcome::unknown : attempt_outcome::deadline_exceeded;
+    // The connection is cut, so that the client can tell an aborted stream from a complete one.
     self->logger.count("herontally_streams_cut_total");
-    one->out->cut();
-    co_return attempt_outcome::cut;
+    exchange->out->cut();
+    co_return attempt_outcome::stream_cut;
   }
-  bool kept = co_await self->keep_turn(one, scanner.data());
+  bool kept = co_await self->store_turn(exchange, scanner.data());
   if (!kept) {
-    one->out->cut();
-    co_return attempt_outcome::cut;
+    exchange->out->cut();
+    co_return attempt_outcome::stream_cut;
   }
   send_head();
-  one->out->finish();
+  exchange->out->finish();
   self->logger.count("herontally_answers_total");
   co_return attempt_outcome::answered;
 }
--- a/src/router/attempt_plan.cc
+++ b/src/router/attempt_plan.cc
@@ -8,7 +8,7 @@
 std::vector<std::string> part_keys(const platform_protocol::request_metadata& metadata,
                                    const routing::route& route) {
   std::vector<std::string> keys;
-  // The model stands in front: what was computed under one model's weights is nothing to another.
+  // Keys begin with the model: a cache computed with one model's weights is useless to another model.
   std::string chain = metadata.model;
   for (auto& part : metadata.parts) {
     chain += "/" + part.id;
@@ -40,50 +40,51 @@
   return tokens;
 }
 
-std::variant<plan, unplanned> make_plan(const subject& asked, engine_pool& engines,
-                                        const planning_context& context, std::mt19937_64& random) {
-  plan made;
-  made.version = context.table.version;
-  made.attempt = asked.attempt;
-  made.parts = part_keys(asked.metadata, asked.route);
-  auto prompt = tokens_before(asked.metadata, made.parts.size());
-  auto all = engines.candidates(asked.service, context.evacuated_zones, context.zone, context.group,
-                                context.wall, prompt, context.now);
-  for (auto& each : all)
+std::variant<plan, no_plan> make_plan(const subject& request, engine_pool& engines,
+                                      const planning_context& context, std::mt19937_64& random) {
+  plan result;
+  result.version = context.table.version;
+  result.attempt = request.attempt;
+  result.parts = part_keys(request.metadata, request.route);
+  auto prompt = tokens_before(request.metadata, result.parts.size());
+  auto candidates = engines.candidates(request.service, context.evacuated_zones, context.zone, context.group,
+                                       context.wall, prompt, context.now);
+  for (auto& each : candidates)
     each.cached_blocks = static_cast<std::size_t>(
-        tokens_before(asked.metadata, engines.prefixes().leading(each.number, made.parts, context.now)));
-  placement::placement_request question;
-  // Lengths are known by part, so that a block is one token here.
-  question.block_tokens = 1;
-  question.prompt_tokens = static_cast<std::size_t>(prompt);
-  // Work is compared in steps (see engine_pool); that an engine has places left is looked at here.
-  question.max_concurrent = std::numeric_limits<std::int64_t>::max();
-  // All nodes together stay under the engine's cap on connections, also while some more are being added.
+        tokens_before(request.metadata, engines.prefixes().leading(each.number, result.parts, context.now)));
+  placement::placement_request placement_input;
+  // Lengths are known per part and not per block, so a block is one token here.
+  placement_input.block_tokens = 1;
+  placement_input.prompt_tokens = static_cast<std::size_t>(prompt);
+  // Load is compared in steps (see engine_pool::candidates); the engines' capacity is checked below.
+  placement_input.max_concurrent = std::numeric_limits<std::int64_t>::max();
+  // Keeps all nodes together below the engine's connection limit, also while two more nodes are being added.
   auto connections =
-      std::max<std::int64_t>(2, asked.service.connections / (std::max<std::int64_t>(1, context.nodes) + 2));
-  for (auto& each : all) {
-    auto capacity = engines.row(each.number).listed.capacity;
+      std::max<std::int64_t>(2, request.service.connections / (std::max<std::int64_t>(1, context.nodes) + 2));
+  for (auto& each : candidates) {
+    auto capacity = engines.entry(each.number).listed.capacity;
     each.live = each.live && each.in_flight < std::min(capacity, connections);
   }
-  question.warm_seconds = 0;  // cold engines are held back by their rate
-  if (asked.service.model) question.min_cached_token_delta = asked.service.model->min_cached_token_delta;
-  question.avoid = asked.avoid;
-  auto choice = placement::place(question, all, random);
-  // Full, cold or out of use for a moment: that passes; an engine that leaves or is gone doesn't come back.
-  bool some = engines.usable(asked.service.name, context.evacuated_zones, context.now) > 0;
-  if (!choice) return some ? unplanned::busy : unplanned::hopeless;
-  auto& destination = all[choice->destination];
-  made.engine = destination.number;
-  made.engine_id = destination.name;
-  made.address = destination.address;
-  made.unread_tokens = prompt - static_cast<std::int64_t>(destination.cached_blocks);
-  made.cached_tokens = static_cast<std::int64_t>(destination.cached_blocks);
+  placement_input.warm_seconds = 0;  // engines in slow start are limited by their rate instead
+  if (request.service.model)
+    placement_input.min_cached_token_delta = request.service.model->min_cached_token_delta;
+  placement_input.avoid = request.avoid;
+  auto choice = placement::place(placement_input, candidates, random);
+  // Being full, in slow start or on probation passes; an engine that drains or is gone doesn't return.
+  bool any_usable = engines.count_usable(request.service.name, context.evacuated_zones, context.now) > 0;
+  if (!choice) return any_usable ? no_plan::busy : no_plan::no_engine;
+  auto& destination = candidates[choice->destination];
+  result.engine = destination.number;
+  result.engine_id = destination.name;
+  result.address = destination.address;
+  result.unread_tokens = prompt - static_cast<std::int64_t>(destination.cached_blocks);
+  result.cached_tokens = static_cast<std::int64_t>(destination.cached_blocks);
   if (choice->source) {
-    made.source = all[*choice->source].name;
-    made.source_tokens = static_cast<std::int64_t>(choice->source_blocks);
+    result.source = candidates[*choice->source].name;
+    result.source_tokens = static_cast<std::int64_t>(choice->source_blocks);
   }
-  made.connections = static_cast<std::size_t>(connections);
-  return made;
+  result.connections = static_cast<std::size_t>(connections);
+  return result;
 }
 
 }  // namespace herontally::router
--- a/src/router/engine_pool.cc
+++ b/src/router/engine_pool.cc
@@ -13,51 +13,54 @@
 void engine_pool::set_list(const std::string& text, microseconds now) {
   auto document = nlohmann::json::parse(text, nullptr, false);
   if (!document.is_array()) return;
-  known_ = true;
-  for (auto& each : rows_) each.present = false;
+  has_list_ = true;
+  for (auto& each : entries_) each.present = false;
   by_service_.clear();
-  for (auto& entry : document) {
-    auto listed = entry.get<platform_protocol::listed_engine>();
+  for (auto& item : document) {
+    auto listed = item.get<platform_protocol::listed_engine>();
     auto found = by_id_.find(listed.id);
     if (found == by_id_.end()) {
-      found = by_id_.emplace(listed.id, static_cast<interning::symbol>(rows_.size())).first;
-      rows_.emplace_back();
-      rows_.back().number = found->second;
+      found = by_id_.emplace(listed.id, static_cast<interning::symbol>(entries_.size())).first;
+      entries_.emplace_back();
+      entries_.back().number = found->second;
     }
-    auto& row = rows_[found->second];
-    row.present = true;
-    // The list tells how long it stays cold from when the list was made, which lies a while back.
+    auto& entry = entries_[found->second];
+    entry.present = true;
+    // The remaining slow start counts from when the list was made, which was a while ago.
     if (listed.slow_start_milliseconds > 0)
-      row.slow_start_until =
-          std::max(row.slow_start_until, now + listed.slow_start_milliseconds * millisecond);
-    row.listed = std::move(listed);
-    by_service_[row.listed.service].push_back(row.number);
+      entry.slow_start_until =
+          std::max(entry.slow_start_until, now + listed.slow_start_milliseconds * millisecond);
+    entry.listed = std::move(listed);
+    by_service_[entry.listed.service].push_back(entry.number);
   }
-  for (auto& each : rows_)
+  for (auto& each : entries_)
     if (!each.present) prefixes_.forget(each.number);
 }
 
 void engine_pool::set_draining(const std::vector<std::string>& ids) {
-  for (auto& each : rows_) each.draining = std::find(ids.begin(), ids.end(), each.listed.id) != ids.end();
+  for (auto& each : entries_) each.draining = std::find(ids.begin(), ids.end(), each.listed.id) != ids.end();
 }
 
-// A cold engine bears so many requests a second from all nodes together. Each node keeps to its share of that
-// over every second that slides by.
-bool engine_pool::may_take_in_slow_start(engine_row& row, const routing::service& service,
-                                         const node_group& group, microseconds wall, microseconds now) {
-  if (service.cold_rate <= 0 || now >= row.slow_start_until) return true;
-  while (!row.recent_sends.empty() && now - row.recent_sends.front() >= second) row.recent_sends.pop_front();
-  auto share = slow_start_share(service.cold_rate, group, row.listed.id, wall);
-  return static_cast<std::int64_t>(row.recent_sends.size()) < share;
+// An engine in slow start can handle a limited number of requests per second from all nodes together. Each
+// node stays within its share over a sliding window of one second.
+bool engine_pool::within_slow_start_share(engine_entry& entry, const routing::service& service,
+                                          const node_group& group, microseconds wall, microseconds now) {
+  if (service.cold_rate <= 0 || now >= entry.slow_start_until) return true;
+  while (!entry.recent_sends.empty() && now - entry.recent_sends.front() >= second)
+    entry.recent_sends.pop_front();
+  auto share = slow_start_share(service.cold_rate, group, entry.listed.id, wall);
+  return static_cast<std::int64_t>(entry.recent_sends.size()) < share;
 }
 
-// What one request costs an engine besides its prompt, in prompt tokens: its part of the steps that put out.
-constexpr double request_tokens = 200;
+// The load of one request besides its prompt, in prompt tokens: its part of the engine's decoding steps.
+constexpr double tokens_per_request = 200;
 constexpr double load_decay_time = 500.0 * millisecond;
 
-double engine_pool::work(const engine_row& row, microseconds now) {
-  double faded = row.recent * std::exp(-static_cast<double>(now - row.recent_at) / load_decay_time);
-  return faded + static_cast<double>(row.unread) + request_tokens * static_cast<double>(row.in_flight);
+double engine_pool::current_load(const engine_entry& entry, microseconds now) {
+  double decayed =
+      entry.recent_load * std::exp(-static_cast<double>(now - entry.recent_load_at) / load_decay_time);
+  return decayed + static_cast<double>(entry.pending_prompt_tokens) +
+         tokens_per_request * static_cast<double>(entry.in_flight);
 }
 
 std::vector<placement::engine> engine_pool::candidates(const routing::service& service,
@@ -68,98 +71,103 @@
   std::vector<placement::engine> engines;
   auto found = by_service_.find(service.name);
   if (found == by_service_.end()) return engines;
-  double least = -1;
+  double min_load = -1;
   for (auto number : found->second) {
-    auto& row = rows_[number];
+    auto& entry = entries_[number];
     placement::engine each;
     each.number = number;
-    each.zone = row.listed.zone;
-    each.address = row.listed.address;
-    each.name = row.listed.id;
-    each.draining = row.listed.draining || row.draining;
-    each.evacuated = evacuated.contains(row.listed.zone);
-    // Out of use for a while after failures; then one request tries it.
-    bool down = now < row.down_until || (row.on_probation && row.in_flight > 0);
-    each.live = row.present && !down && may_take_in_slow_start(row, service, group, wall, now);
-    each.queue = row.in_flight;
-    each.in_flight = row.in_flight;
-    bool free = each.live && !each.draining && !each.evacuated;
-    double load = work(row, now);
-    if (free && (least < 0 || load < least)) least = load;
+    each.zone = entry.listed.zone;
+    each.address = entry.listed.address;
+    each.name = entry.listed.id;
+    each.draining = entry.listed.draining || entry.draining;
+    each.evacuated = evacuated.contains(entry.listed.zone);
+    // Ejected for a while after failures; after that one request at a time probes the engine.
+    bool ejected = now < entry.ejected_until || (entry.on_probation && entry.in_flight > 0);
+    each.live = entry.present && !ejected && within_slow_start_share(entry, service, group, wall, now);
+    each.queue = entry.in_flight;
+    each.in_flight = entry.in_flight;
+    bool available = each.live && !each.draining && !each.evacuated;
+    double load = current_load(entry, now);
+    if (available && (min_load < 0 || load < min_load)) min_load = load;
     engines.push_back(std::move(each));
   }
   for (auto& each : engines) {
-    auto& row = rows_[each.number];
+    auto& entry = entries_[each.number];
     if (!service.model) {
-      bool near = row.listed.zone == zone, warm = row.last_answer >= 0 && now - row.last_answer < 3 * second;
-      each.reported = row.in_flight;
-      each.tie_break_score = (near ? 2 : 0) + (warm ? 1 : 0);
+      bool same_zone = entry.listed.zone == zone,
+           recently_used = entry.last_answer_at >= 0 && now - entry.last_answer_at < 3 * second;
+      each.reported = entry.in_flight;
+      each.tie_break_score = (same_zone ? 2 : 0) + (recently_used ? 1 : 0);
       continue;
     }
-    // Reading the prompt anew elsewhere costs as much as waiting behind that many tokens: engines that lie
-    // closer together in load than this are alike, and what they keep decides.
+    // Recomputing the prompt at another engine costs as much as waiting behind that many tokens. Engines
+    // whose load differs by less than this count as equally loaded, and what they have cached decides.
     double band = static_cast<double>(std::max<std::int64_t>(512, tokens));
-    double load = work(row, now);
-    each.reported = static_cast<std::int64_t>(std::max(0.0, load - std::max(0.0, least)) / band);
+    double load = current_load(entry, now);
+    each.reported = static_cast<std::int64_t>(std::max(0.0, load - std::max(0.0, min_load)) / band);
     each.tie_break_score = 1e9 - load;
   }
   return engines;
 }
 
-std::size_t engine_pool::usable(const std::string& service, const std::set<std::string>& evacuated,
-                                microseconds now) const {
+std::size_t engine_pool::count_usable(const std::string& service, const std::set<std::string>& evacuated,
+                                      microseconds now) const {
   std::size_t count = 0;
   auto found = by_service_.find(service);
   if (found == by_service_.end()) return 0;
   for (auto number : found->second) {
-    auto& row = rows_[number];
-    bool out =
-        row.listed.draining || row.draining || evacuated.contains(row.listed.zone) || now < row.down_until;
-    count += row.present && !out ? 1 : 0;
+    auto& entry = entries_[number];
+    bool excluded = entry.listed.draining || entry.draining || evacuated.contains(entry.listed.zone) ||
+                    now < entry.ejected_until;
+    count += entry.present && !excluded ? 1 : 0;
   }
   return count;
 }
 
-void engine_pool::sent(interning::symbol number, std::int64_t unread, microseconds now) {
-  auto& row = rows_[number];
-  ++row.in_flight;
-  row.unread += unread;
-  row.recent = row.recent * std::exp(-static_cast<double>(now - row.recent_at) / load_decay_time) +
-               static_cast<double>(unread) + request_tokens;
-  row.recent_at = now;
-  // Counted whether cold or not: it may have turned cold without a word.
-  row.recent_sends.push_back(now);
-  while (now - row.recent_sends.front() >= second) row.recent_sends.pop_front();
+void engine_pool::sent(interning::symbol number, std::int64_t uncached_tokens, microseconds now) {
+  auto& entry = entries_[number];
+  ++entry.in_flight;
+  entry.pending_prompt_tokens += uncached_tokens;
+  entry.recent_load =
+      entry.recent_load * std::exp(-static_cast<double>(now - entry.recent_load_at) / load_decay_time) +
+      static_cast<double>(uncached_tokens) + tokens_per_request;
+  entry.recent_load_at = now;
+  // Counted for engines outside slow start too: an engine may have entered it without notice.
+  entry.recent_sends.push_back(now);
+  while (now - entry.recent_sends.front() >= second) entry.recent_sends.pop_front();
 }
 
-void engine_pool::begun(interning::symbol number, std::int64_t unread) { rows_[number].unread -= unread; }
+void engine_pool::started_answering(interning::symbol number, std::int64_t uncached_tokens) {
+  entries_[number].pending_prompt_tokens -= uncached_tokens;
+}
 
-void engine_pool::ended(interning::symbol number) { --rows_[number].in_flight; }
+void engine_pool::ended(interning::symbol number) { --entries_[number].in_flight; }
 
 void engine_pool::answered(interning::symbol number, const platform_protocol::response_metadata& metadata,
                            microseconds now) {
-  auto& row = rows_[number];
-  row.failures = 0;
-  row.on_probation = false;
-  row.last_answer = now;
+  auto& entry = entries_[number];
+  entry.consecutive_failures = 0;
+  entry.on_probation = false;
+  entry.last_answer_at = now;
   if (metadata.slow_start_milliseconds > 0)
-    row.slow_start_until =
-        std::max(row.slow_start_until, now + metadata.slow_start_milliseconds * millisecond);
+    entry.slow_start_until =
+        std::max(entry.slow_start_until, now + metadata.slow_start_milliseconds * millisecond);
 }
 
 void engine_pool::failed(interning::symbol number, bool hard, microseconds now) {
-  auto& row = rows_[number];
-  ++row.failures;
-  row.last_answer = -1;
-  // A single broken answer happens to the best; nothing listening at all does not.
-  if (!hard && row.failures < 2) return;
-  microseconds pause = std::min<microseconds>(4 * second, (250 * millisecond) << std::min(row.failures, 5));
-  row.down_until = now + pause;
-  row.on_probation = true;
+  auto& entry = entries_[number];
+  ++entry.consecutive_failures;
+  entry.last_answer_at = -1;
+  // A single failed answer can happen to a healthy engine; a request that could not even be sent can't.
+  if (!hard && entry.consecutive_failures < 2) return;
+  microseconds pause =
+      std::min<microseconds>(4 * second, (250 * millisecond) << std::min(entry.consecutive_failures, 5));
+  entry.ejected_until = now + pause;
+  entry.on_probation = true;
 }
 
 void engine_pool::replaced(interning::symbol number) {
-  rows_[number].down_until = rows_[number].down_until + 3600 * second;
+  entries_[number].ejected_until = entries_[number].ejected_until + 3600 * second;
   prefixes_.forget(number);
 }
 
--- a/src/router/event_scanner.cc
+++ b/src/router/event_scanner.cc
@@ -2,33 +2,33 @@
 
 namespace herontally::router {
 
-void event_scanner::take_line() {
+void event_scanner::process_line() {
   if (!line_.empty() && line_.back() == '\r') line_.pop_back();
   if (line_.empty()) {
-    // A blank line ends an event; one without data is a comment or a keep-alive.
+    // A blank line ends an event; an event without data is a comment or a keep-alive.
     if (has_data_) {
       ++events_;
-      if (keep_) data_ += pending_ + "\n";
+      if (collect_data_) data_ += pending_ + "\n";
       if (!pending_id_.empty()) last_id_ = pending_id_;
     }
     pending_.clear();
     pending_id_.clear();
-    has_data_ = open_ = false;
+    has_data_ = in_event_ = false;
     return;
   }
-  open_ = true;
+  in_event_ = true;
   auto colon = line_.find(':');
   std::string field = line_.substr(0, colon);
-  std::size_t begin = colon == std::string::npos ? line_.size() : colon + 1;
-  if (begin < line_.size() && line_[begin] == ' ') ++begin;
+  std::size_t value_begin = colon == std::string::npos ? line_.size() : colon + 1;
+  if (value_begin < line_.size() && line_[value_begin] == ' ') ++value_begin;
   if (field == "data") {
-    if (keep_) {
+    if (collect_data_) {
       if (has_data_) pending_ += "\n";
-      pending_.append(line_, begin, std::string::npos);
+      pending_.append(line_, value_begin, std::string::npos);
     }
     has_data_ = true;
   } else if (field == "id") {
-    pending_id_ = line_.substr(begin);
+    pending_id_ = line_.substr(value_begin);
   }
 }
 
@@ -41,7 +41,7 @@
       return;
     }
     line_.append(bytes, from, end - from);
-    take_line();
+    process_line();
     line_.clear();
     from = end + 1;
   }
--- a/src/router/operation.cc
+++ b/src/router/operation.cc
@@ -1,5 +1,5 @@
-// Operations by key: claimed in the ledger before an engine hears of them, and answered from it when they are
-// repeated.
+// Keyed operations: each is claimed in the ledger before it is sent to an engine, and a repeated request is
+// answered from the ledger.
 #include "router/request_router_state.h"
 
 namespace herontally::router {
@@ -10,20 +10,21 @@
 namespace {
 
 constexpr microseconds max_claim_wait = 1200 * millisecond;
-// Clocks of nodes differ, and so does what is left of a request's time when an engine hears of it.
+// Covers differences between the nodes' clocks and in the time that is left when an engine receives the
+// request.
 constexpr microseconds clock_margin = 10 * second;
 constexpr microseconds finish_timeout = 2 * second;
-// How much longer than its deadline a complete answer may be held until it is kept.
-constexpr microseconds keep_grace = 200 * millisecond;
-// How long a rejected client waits for its claim to be released.
+// How far past its deadline a complete answer may be delayed until the ledger has stored it.
+constexpr microseconds store_grace = 200 * millisecond;
+// How long the reply to a rejected client may wait for the release of its claim.
 constexpr microseconds release_timeout = 200 * millisecond;
-// An answer beyond this size isn't kept: a repeat learns that its end isn't known.
-constexpr std::size_t max_kept_answer = 1u << 20;
+// A larger answer is not stored: a repeated request learns that the outcome is unknown.
+constexpr std::size_t max_stored_answer = 1u << 20;
 constexpr int bad_gateway = 502, unavailable = 503, conflict = 409;
 
-microseconds claim_deadline(const exchange& one) {
-  auto share = (one.deadline - one.arrived) * 2 / 5;
-  return one.arrived + std::min(max_claim_wait, share);
+microseconds claim_deadline(const client_exchange& exchange) {
+  auto share = (exchange.deadline - exchange.arrived) * 2 / 5;
+  return exchange.arrived + std::min(max_claim_wait, share);
 }
 
 std::optional<rejection> rejection_of(claim_status status) {
@@ -50,98 +51,107 @@
 
 }  // namespace
 
-bool is_operation(const exchange& one) {
-  return one.route.kind == routing::category::keyed && !one.metadata.operation_key.empty();
+bool is_operation(const client_exchange& exchange) {
+  return exchange.route.kind == routing::category::keyed && !exchange.metadata.operation_key.empty();
 }
 
-bool must_release(const exchange& one) {
-  // Repeats go on under a claim of engines that share a table of keys.
-  return one.operation && one.owns_operation && !one.operation->deduplicated && !one.may_have_run;
+bool must_release_claim(const client_exchange& exchange) {
+  // If the engines share a table of operation keys, repeated requests continue under the same claim.
+  return exchange.operation && exchange.owns_operation && !exchange.operation->deduplicated &&
+         !exchange.may_have_run;
 }
 
-// An operation stays with the service that it began at: another one's engines don't know that it ran.
-std::optional<rejection> request_router::state::go_to_claimed_service(exchange& one) const {
-  auto& wanted = one.operation->service;
-  const auto* service = table.find_service(wanted);
-  bool joinable = one.owns_operation || (service && service->deduplicates);
-  if (!service || !joinable || !is_target(one.route, wanted))
+// Assigns the service that the claim names: the engines of another service don't know whether the operation
+// ran.
+std::optional<rejection> request_router::state::use_claimed_service(client_exchange& exchange) const {
+  auto& claimed_service = exchange.operation->service;
+  const auto* service = table.find_service(claimed_service);
+  bool joinable = exchange.owns_operation || (service && service->deduplicates);
+  if (!service || !joinable || !is_target(exchange.route, claimed_service))
     return rejection{bad_gateway, "the operation began at a service that the route has left"};
-  one.service = *service;
+  exchange.service = *service;
   return std::nullopt;
 }
 
-task<bool> request_router::state::claim_operation(exchange_pointer one) {
+task<bool> request_router::state::claim_operation(client_exchange_pointer exchange) {
   auto self = shared_from_this();
-  if (!is_operation(*one)) co_return true;
+  if (!is_operation(*exchange)) co_return true;
   ledger::operation_record first;
   first.owner = self->runtime.random_name();
-  first.service = one->service.name;
-  first.deduplicated = one->service.deduplicates;
-  first.running_until = self->runtime.wall() + (one->deadline - self->runtime.now());
+  first.service = exchange->service.name;
+  first.deduplicated = exchange->service.deduplicates;
+  first.running_until = self->runtime.wall() + (exchange->deadline - self->runtime.now());
   first.keep_until = self->runtime.wall() + self->options.operation_key_time + clock_margin;
-  auto claimed = co_await self->operations.claim(one->operation_id(), first,
-                                                 self->shutdown.bounded(claim_deadline(*one)));
-  if (auto against = rejection_of(claimed.status)) {
-    // The claim may stand all the same.
-    bool may_stand = claimed.status == claim_status::uncertain;
-    if (may_stand) one->operation = first;
-    one->owns_operation = may_stand;
-    self->reject(one, *against);
+  auto claimed = co_await self->operations.claim(exchange->operation_id(), first,
+                                                 self->shutdown.limit_to_shutdown(claim_deadline(*exchange)));
+  if (auto refusal = rejection_of(claimed.status)) {
+    // The ledger may have recorded the claim nevertheless.
+    bool may_be_recorded = claimed.status == claim_status::uncertain;
+    if (may_be_recorded) exchange->operation = first;
+    exchange->owns_operation = may_be_recorded;
+    self->reject(exchange, *refusal);
     co_return false;
   }
   if (claimed.status == claim_status::answered) {
-    self->replay_answer(*one, claimed.record);
+    self->replay_answer(*exchange, claimed.record);
     co_return false;
   }
-  one->operation = claimed.record;
-  one->owns_operation = claimed.record.owner == first.owner;
-  if (auto against = self->go_to_claimed_service(*one)) {
-    self->reject(one, *against);
+  exchange->operation = claimed.record;
+  exchange->owns_operation = claimed.record.owner == first.owner;
+  if (auto refusal = self->use_claimed_service(*exchange)) {
+    self->reject(exchange, *refusal);
     co_return false;
   }
   co_return true;
 }
 
-void request_router::state::replay_answer(const exchange& one, const ledger::operation_record& kept) const {
+void request_router::state::replay_answer(const client_exchange& exchange,
+                                          const ledger::operation_record& kept) const {
   logger.count("herontally_operations_replayed_total");
   runtime::http_response response;
   response.status = static_cast<int>(kept.status);
   response.headers = kept.headers;
-  response.headers[adapter->echo_header] = one.metadata.attempt;
+  response.headers[adapter->echo_header] = exchange.metadata.attempt;
   response.body = kept.body;
-  one.out->reply(std::move(response));
+  exchange.out->reply(std::move(response));
 }
 
-// Engines that share a table of keys keep the answer themselves.
-task<> request_router::state::keep_operation_answer(exchange_pointer one, runtime::http_response response) {
+// Stores the engine's answer in the ledger, unless the engines share a table of operation keys: those keep
+// the answer themselves.
+task<> request_router::state::store_operation_answer(client_exchange_pointer exchange,
+                                                     runtime::http_response response) {
   auto self = shared_from_this();
-  auto until = std::min(self->runtime.now() + finish_timeout, one->deadline + keep_grace);
-  bool kept_here = one->operation && one->owns_operation && !one->operation->deduplicated;
-  if (!kept_here || response.body.size() > max_kept_answer) co_return;
-  auto last = *one->operation;
+  auto until = std::min(self->runtime.now() + finish_timeout, exchange->deadline + store_grace);
+  bool kept_here = exchange->operation && exchange->owns_operation && !exchange->operation->deduplicated;
+  if (!kept_here || response.body.size() > max_stored_answer) co_return;
+  auto last = *exchange->operation;
   last.state = operation_state::answered;
   last.status = response.status;
   last.headers = std::move(response.headers);
   last.body = std::move(response.body);
-  bool kept = co_await self->operations.finish(one->operation_id(), std::move(last), until);
-  // The answer is true either way; a repeat will learn that the end isn't known.
+  bool kept = co_await self->operations.finish(exchange->operation_id(), std::move(last), until);
+  // The answer is valid either way; a repeated request will learn that the outcome is unknown.
   if (!kept) self->logger.count("herontally_operations_not_kept_total");
 }
 
-ledger::operation_record take_claim(exchange& one) { return *std::exchange(one.operation, std::nullopt); }
+ledger::operation_record take_claim(client_exchange& exchange) {
+  return *std::exchange(exchange.operation, std::nullopt);
+}
 
-task<> request_router::state::release_operation(exchange_pointer one, ledger::operation_record claim) {
+task<> request_router::state::release_operation(client_exchange_pointer exchange,
+                                                ledger::operation_record claim) {
   auto self = shared_from_this();
   claim.state = operation_state::not_run;
-  co_await self->operations.finish(one->operation_id(), std::move(claim),
+  co_await self->operations.finish(exchange->operation_id(), std::move(claim),
                                    self->runtime.now() + release_timeout);
 }
 
-task<> request_router::state::release_and_reply(exchange_pointer one, ledger::operation_record claim,
+task<> request_router::state::release_and_reply(client_exchange_pointer exchange,
+                                                ledger::operation_record claim,
                                                 runtime::http_response response) {
   auto self = shared_from_this();
-  co_await self->release_operation(one, std::move(claim));
-  one->out->reply(std::move(response));
+  co_await self->release_operation(exchange, std::move(claim));
+  exchange->out->reply(std::move(response));
 }
 
 }  // namespace herontally::router
--- a/src/router/request_router.cc
+++ b/src/router/request_router.cc
@@ -8,14 +8,14 @@
 
 namespace {
 
-// The urgency of a request whose route isn't known yet.
+// The urgency of a request whose route is not known yet.
 constexpr std::int64_t least_urgent = 9;
-// Engines in slow start and pauses after failures come free by time alone.
+// Slow start and ejection after failures end by time alone, without a notification.
 constexpr microseconds max_capacity_wait = 50 * millisecond;
-// Just after a start the table and the list are moments away: whoever waits for them is served sooner than by
-// another node, where after a loss of everything nobody is further on.
+// Just after a start the table and the list usually arrive within moments, so that waiting is faster than
+// retrying at another node; after a loss of the whole system no other node is ready any earlier.
 constexpr std::int64_t max_startup_wait_milliseconds = 1200;
-// Levels of urgency of the routes, which order the requests of tenants of like urgency.
+// Number of route urgency levels; they order requests whose tenants have the same urgency.
 constexpr std::int64_t route_urgency_levels = 3;
 
 std::int64_t combined_urgency(const routing::tenant* tenant, const routing::route& route) {
@@ -37,7 +37,7 @@
   state_->table = std::move(table);
   state_->evacuated_zones = std::move(evacuated_zones);
   state_->has_routing = true;
-  state_->durations.keep_routes_of(state_->table);
+  state_->durations.retain_routes(state_->table);
   state_->tenants.set_tenants(state_->table.tenants, state_->runtime.random());
   if (state_->options.quotas) state_->options.quotas->set_tenants(state_->table.tenants);
   for (auto& service : state_->table.services)
@@ -57,7 +57,7 @@
   state_->group = group;
 }
 
-bool request_router::ready() const { return state_->is_serving() && !state_->shutdown.begun(); }
+bool request_router::ready() const { return state_->is_serving() && !state_->shutdown.has_begun(); }
 
 void request_router::begin_shutdown(microseconds ends_at) {
   state_->shutdown.begin(state_->runtime.now(), ends_at);
@@ -65,158 +65,165 @@
 }
 
 void request_router::give_up_requests() {
-  // An interrupted request may end at once, and leave the set.
+  // A copy: an interrupted request may end at once and remove itself from the set.
   auto left = state_->exchanges;
-  for (auto& one : left)
-    if (one->interrupt) one->interrupt();
+  for (auto& exchange : left)
+    if (exchange->interrupt_wait) exchange->interrupt_wait();
 }
 
 std::int64_t request_router::in_flight() const { return state_->in_flight; }
 
-planning_context request_router::state::planning() const {
+planning_context request_router::state::make_planning_context() const {
   return {table, evacuated_zones, options.zone, nodes, group, runtime.now(), runtime.wall()};
 }
 
-void request_router::state::reject(const exchange_pointer& one, const rejection& asked) {
+void request_router::state::reject(const client_exchange_pointer& exchange, const rejection& requested) {
   constexpr int bad_gateway = 502;
-  auto why = asked;
-  // 503 would promise that an operation hasn't run, and never will.
-  if (why.status == 503 && is_operation(*one) && one->may_have_run) why = {bad_gateway, asked.reason};
-  logger.count("herontally_refusals_total{reason=\"" + why.reason + "\"}");
-  logger.debug("refused", {{"request", one->metadata.attempt}, {"status", why.status}, {"why", why.reason}});
+  auto effective = requested;
+  // For a keyed operation 503 would state that it has not run and never will, so one that may have run gets
+  // 502.
+  if (effective.status == 503 && is_operation(*exchange) && exchange->may_have_run)
+    effective = {bad_gateway, requested.reason};
+  logger.count("herontally_refusals_total{reason=\"" + effective.reason + "\"}");
+  logger.debug(
+      "refused",
+      {{"request", exchange->metadata.attempt}, {"status", effective.status}, {"why", effective.reason}});
   runtime::http_response response;
-  response.status = why.status;
+  response.status = effective.status;
   response.headers["Content-Type"] = "application/json";
-  response.body = nlohmann::json{{"error", why.reason}}.dump() + "\n";
-  if (why.retry_milliseconds > 0) adapter->set_retry_after(response.headers, why.retry_milliseconds);
-  if (must_release(*one))
-    runtime.spawn(release_and_reply(one, take_claim(*one), std::move(response)));
+  response.body = nlohmann::json{{"error", effective.reason}}.dump() + "\n";
+  if (effective.retry_milliseconds > 0)
+    adapter->set_retry_after(response.headers, effective.retry_milliseconds);
+  if (must_release_claim(*exchange))
+    runtime.spawn(release_and_reply(exchange, take_claim(*exchange), std::move(response)));
   else
-    one->out->reply(std::move(response));
+    exchange->out->reply(std::move(response));
 }
 
-void request_router::state::notify_waiting() { waiting.notify_all(); }
+void request_router::state::notify_waiting() { waiting_requests.notify_all(); }
 
 task<bool> request_router::state::wait_for_capacity(microseconds until, std::int64_t urgency) {
   auto self = shared_from_this();
-  auto left = self->shutdown.bounded(until) - self->runtime.now();
+  auto left = self->shutdown.limit_to_shutdown(until) - self->runtime.now();
   if (left <= 0) co_return false;
   runtime::slot<bool> notifier(self->runtime);
-  self->waiting.add(urgency, notifier);
+  self->waiting_requests.add(urgency, notifier);
   auto timer = self->runtime.after(std::min(left, max_capacity_wait), [notifier] { notifier.set(true); });
   co_await notifier.wait();
   self->runtime.cancel(timer);
-  self->waiting.remove_notified();
+  self->waiting_requests.remove_notified();
   co_return true;
 }
 
-task<bool> request_router::state::wait_until_serving(exchange_pointer one) {
+task<bool> request_router::state::wait_until_serving(client_exchange_pointer exchange) {
   auto self = shared_from_this();
   std::int64_t wait = max_startup_wait_milliseconds;
-  if (one->metadata.time_left >= 0) wait = std::min(wait, one->metadata.time_left / 3);
+  if (exchange->metadata.time_left >= 0) wait = std::min(wait, exchange->metadata.time_left / 3);
   while (!self->is_serving()) {
-    bool more = co_await self->wait_for_capacity(one->arrived + wait * millisecond, least_urgent);
+    bool more = co_await self->wait_for_capacity(exchange->arrived + wait * millisecond, least_urgent);
     if (!more) co_return false;
   }
   co_return true;
 }
 
-const routing::route* request_router::state::route_of(const exchange& one) const {
-  auto host = one.request.headers.find("host");
-  return table.match(host == one.request.headers.end() ? "" : host->second, one.request.path);
+const routing::route* request_router::state::find_route(const client_exchange& exchange) const {
+  auto host = exchange.request.headers.find("host");
+  return table.match(host == exchange.request.headers.end() ? "" : host->second, exchange.request.path);
 }
 
-std::optional<rejection> request_router::state::assign_route(exchange& one) {
-  const auto* route = route_of(one);
+std::optional<rejection> request_router::state::assign_route(client_exchange& exchange) {
+  const auto* route = find_route(exchange);
   if (!route) return rejection{404, "no such route"};
-  one.route = *route;
-  auto identified = identify_sender(one);
-  if (auto* against = std::get_if<rejection>(&identified)) return *against;
-  auto& sent_by = std::get<sender>(identified);
-  one.tenant = sent_by.tenant;
-  one.urgency = sent_by.urgency;
+  exchange.route = *route;
+  auto identified = identify_caller(exchange);
+  if (auto* refusal = std::get_if<rejection>(&identified)) return *refusal;
+  auto& caller = std::get<caller_identity>(identified);
+  exchange.tenant = caller.tenant;
+  exchange.urgency = caller.urgency;
   const auto* service = draw_service(*route, table, runtime.random());
   if (!service) return rejection{503, "the route has no service", 500};
-  one.service = *service;
-  std::int64_t left = one.route.deadline;
-  if (one.metadata.time_left >= 0) left = std::min(left, one.metadata.time_left);
-  one.deadline = one.arrived + left * millisecond;
-  if (in_flight >= options.most_requests) return rejection{503, "too many requests", 200};
+  exchange.service = *service;
+  std::int64_t left = exchange.route.deadline;
+  if (exchange.metadata.time_left >= 0) left = std::min(left, exchange.metadata.time_left);
+  exchange.deadline = exchange.arrived + left * millisecond;
+  if (in_flight >= options.max_requests) return rejection{503, "too many requests", 200};
   return std::nullopt;
 }
 
-std::optional<rejection> request_router::state::check_shutdown(const exchange& one) const {
+std::optional<rejection> request_router::state::check_shutdown(const client_exchange& exchange) const {
   auto now = runtime.now();
-  if (shutdown.may_take(one.deadline, durations.longest(one.route.name, now), now)) return std::nullopt;
-  return rejection{503, "this node is ending", closing_retry_milliseconds};
+  if (shutdown.may_accept(exchange.deadline, durations.recent_max(exchange.route.name, now), now))
+    return std::nullopt;
+  return rejection{503, "this node is ending", shutdown_retry_milliseconds};
 }
 
-std::variant<sender, rejection> request_router::state::identify_sender(const exchange& one) const {
+std::variant<caller_identity, rejection> request_router::state::identify_caller(
+    const client_exchange& exchange) const {
   constexpr int unauthorized = 401;
-  if (tenants.empty()) return sender{std::nullopt, one.route.urgency};
-  const auto* found = tenants.find(one.metadata.credential);
-  if (!found && !one.route.anonymous) return rejection{unauthorized, "unknown credential"};
-  return sender{found ? found->name : std::string(), combined_urgency(found, one.route)};
+  if (tenants.empty()) return caller_identity{std::nullopt, exchange.route.urgency};
+  const auto* found = tenants.find(exchange.metadata.credential);
+  if (!found && !exchange.route.anonymous) return rejection{unauthorized, "unknown credential"};
+  return caller_identity{found ? found->name : std::string(), combined_urgency(found, exchange.route)};
 }
 
-task<bool> request_router::state::admit_by_quota(exchange_pointer one) {
+task<bool> request_router::state::admit_by_quota(client_exchange_pointer exchange) {
   constexpr int too_many_requests = 429;
   auto self = shared_from_this();
-  bool limited = self->options.quotas && one->tenant && !one->tenant->empty();
+  bool limited = self->options.quotas && exchange->tenant && !exchange->tenant->empty();
   if (!limited) co_return true;
-  auto admission = co_await self->options.quotas->admit(*one->tenant);
+  auto admission = co_await self->options.quotas->admit(*exchange->tenant);
   if (admission.granted) co_return true;
-  self->reject(one, {too_many_requests, "the tenant's quota is used up", admission.retry_milliseconds});
+  self->reject(exchange, {too_many_requests, "the tenant's quota is used up", admission.retry_milliseconds});
   co_return false;
 }
 
-void request_router::state::give_back_quota(const exchange& one) {
-  bool counted = options.quotas && one.tenant && !one.tenant->empty();
-  if (counted && !one.may_have_run) options.quotas->give_back(*one.tenant);
+void request_router::state::give_back_quota(const client_exchange& exchange) {
+  bool counted = options.quotas && exchange.tenant && !exchange.tenant->empty();
+  if (counted && !exchange.may_have_run) options.quotas->give_back(*exchange.tenant);
 }
 
-// Whoever waits for an engine on the request's behalf is woken when its client goes away.
-static void watch_client(const exchange_pointer& one) {
-  if (!one->out->on_gone) return;
-  one->out->on_gone([weak = std::weak_ptr<exchange>(one)] {
-    auto here = weak.lock();
-    if (!here) return;
-    here->client_gone = true;
-    if (here->interrupt) here->interrupt();
+// Ends the wait for the engine's answer when the client disconnects.
+static void watch_for_disconnect(const client_exchange_pointer& exchange) {
+  if (!exchange->out->on_gone) return;
+  exchange->out->on_gone([weak = std::weak_ptr<client_exchange>(exchange)] {
+    auto alive = weak.lock();
+    if (!alive) return;
+    alive->client_disconnected = true;
+    if (alive->interrupt_wait) alive->interrupt_wait();
   });
 }
 
 task<> request_router::serve(runtime::inbound_request request, http_api::writer out) {
   auto self = state_;
-  auto one = std::make_shared<exchange>();
-  one->arrived = self->runtime.now();
-  one->request = std::move(request);
-  one->out = out;
-  one->metadata = self->adapter->read_request(one->request.headers);
-  bool serving = co_await self->wait_until_serving(one);
+  auto exchange = std::make_shared<client_exchange>();
+  exchange->arrived = self->runtime.now();
+  exchange->request = std::move(request);
+  exchange->out = out;
+  exchange->metadata = self->adapter->read_request(exchange->request.headers);
+  bool serving = co_await self->wait_until_serving(exchange);
   if (!serving) {
-    self->reject(one, {503, "nothing is in force here yet", 300});
+    self->reject(exchange, {503, "nothing is in force here yet", 300});
     co_return;
   }
   if (out->closed()) co_return;
-  if (auto against = self->assign_route(*one)) {
-    self->reject(one, *against);
+  if (auto refusal = self->assign_route(*exchange)) {
+    self->reject(exchange, *refusal);
     co_return;
   }
-  if (auto against = self->check_shutdown(*one)) {
-    self->reject(one, *against);
+  if (auto refusal = self->check_shutdown(*exchange)) {
+    self->reject(exchange, *refusal);
     co_return;
   }
   ++self->in_flight;
-  self->exchanges.insert(one);
-  absl::Cleanup ended = [self, one] {
+  self->exchanges.insert(exchange);
+  absl::Cleanup ended = [self, exchange] {
     --self->in_flight;
-    self->exchanges.erase(one);
+    self->exchanges.erase(exchange);
   };
-  watch_client(one);
-  bool admitted = co_await self->admit_by_quota(one);
-  if (admitted) co_await self->run(one);
-  if (admitted) self->give_back_quota(*one);
+  watch_for_disconnect(exchange);
+  bool admitted = co_await self->admit_by_quota(exchange);
+  if (admitted) co_await self->run(exchange);
+  if (admitted) self->give_back_quota(*exchange);
 }
 
 }  // namespace herontally::router
--- a/src/router/request_router.h
+++ b/src/router/request_router.h
@@ -1,5 +1,7 @@
-// Routes clients' requests by the routing table: each goes to an engine of its route's service, unchanged,
-// and the engine's answer back to the client.
+// Routes client requests by the routing table: forwards each to an engine of its route's service and returns
+// the engine's answer to the client. Token budgets, kept turns and operation keys are stored in the ledgers
+// (src/ledger); the choice among engines is made by src/placement. Names and formats on the wire come from
+// the platform adapter.
 #pragma once
 #include "http_api/responses.h"
 #include "ledger/operation_ledger.h"
@@ -13,40 +15,43 @@
 namespace herontally::router {
 
 struct router_options {
-  std::string zone;                   // this node's
-  std::int64_t most_requests = 2000;  // in flight at once
-  // A lead in cached tokens above which a source is named, for models whose table names none. Off: nothing.
+  std::string zone;                  // the zone of this node
+  std::int64_t max_requests = 2000;  // in flight at once
+  // Default for models without a value of their own: a cache source is named if it holds more cached tokens
+  // than the chosen engine by more than this. Without a value no source is named.
   std::optional<std::int64_t> min_cached_token_delta;
-  std::optional<quota::tenant_quotas> quotas;  // nothing: tenants' quotas are not enforced
-  // How long an operation key names the same operation.
+  std::optional<quota::tenant_quotas> quotas;  // without a value quotas are not enforced
+  // How long an operation key identifies the same operation.
   runtime::microseconds operation_key_time = 60 * runtime::second;
 };
 
-// Copies share one state.
+// Copies share one state. Not thread-safe: all calls come from the runtime's event loop.
 class request_router {
  public:
   request_router(runtime::handle runtime, logging::logger logger,
                  std::shared_ptr<const platform_protocol::adapter> adapter, ledger::program_ledger programs,
                  ledger::operation_ledger operations, router_options options);
-  // The table that is in force from now on, and the zones that get no requests. One with a lower version is
-  // ignored.
+  // Replaces the routing table and the set of zones that get no requests. A table with a lower version than
+  // the current one is ignored.
   void set_routing(routing::table table, std::set<std::string> evacuated_zones);
-  // The platform's engine list as JSON (empty: unchanged), and engines that were seen draining besides.
+  // Replaces the engine list (the platform's list as JSON; empty: unchanged) and the ids of engines that are
+  // draining in addition to those that the list marks.
   void set_engines(const std::string& list, const std::vector<std::string>& draining);
-  // How many nodes share the engines' caps on connections, and this one's rank among those that share the
-  // rates of engines in slow start.
+  // `count`: nodes that share the engines' connection limits. `group`: this node's rank among the nodes that
+  // share the rate limit of engines in slow start.
   void set_nodes(std::int64_t count, const node_group& group);
-  // Whether requests are served. Before, they wait for a moment and are then rejected.
+  // Whether a table and an engine list are present and no shutdown has begun. Requests that arrive before the
+  // table and the list wait up to 1.2 s and are then rejected.
   bool ready() const;
-  // The process has had its notice, and ends at `ends_at`. From now on a request is taken only if it can be
-  // answered before that, and rejected before any engine hears of it otherwise. What waits is rejected
-  // shortly before the end.
+  // Begins the shutdown of a process that ends at `ends_at`. From now on a request is accepted only if it can
+  // be answered before that; otherwise it is rejected before any engine receives it. Requests still waiting
+  // for an engine are rejected shortly before the end.
   void begin_shutdown(runtime::microseconds ends_at);
-  // The end has come: whoever still waits for an engine's answer hears that it is lost, or, in the midst of
-  // a stream, is cut off.
+  // Called at the end of the shutdown: ends every wait for an engine's answer. The client gets an error
+  // response, or a cut connection if the head of a stream was already sent.
   void give_up_requests();
   std::int64_t in_flight() const;
-  // Answers the request.
+  // Serves one request and replies through `out`.
   runtime::task<> serve(runtime::inbound_request request, http_api::writer out);
 
  private:
--- a/src/router/shutdown_admission.h
+++ b/src/router/shutdown_admission.h
@@ -1,4 +1,5 @@
-// Which requests a process that is about to end still takes: those that can be answered before it does.
+// Decides which requests a process that is shutting down still accepts: those that can be answered before it
+// ends. All times are of the steady clock, in microseconds.
 #pragma once
 #include <map>
 #include <optional>
@@ -10,37 +11,38 @@
 
 using runtime::microseconds;
 
-// The longest that requests of each route have taken of late. Routes are known by their names.
+// The longest recent duration of answered requests, per route name. Durations are remembered for 30 to 90 s.
 class route_durations {
  public:
-  void note(const std::string& route, microseconds duration, microseconds now);
-  // Nothing: no request of the route was answered of late.
-  std::optional<microseconds> longest(const std::string& route, microseconds now) const;
-  // Forgets the routes that the table doesn't have.
-  void keep_routes_of(const routing::table& table);
+  void record(const std::string& route, microseconds duration, microseconds now);
+  // Without a value: no request of the route was answered recently.
+  std::optional<microseconds> recent_max(const std::string& route, microseconds now) const;
+  // Removes the routes that the table doesn't have.
+  void retain_routes(const routing::table& table);
 
  private:
-  // The longest of two spans of time that follow each other; the older one goes when a third begins.
-  struct spans {
-    microseconds begun = 0, longest = 0, longest_before = 0;
+  // The maxima of two consecutive time windows; the older one is dropped when a third begins.
+  struct windows {
+    microseconds begun_at = 0, longest = 0, longest_before = 0;
   };
-  static spans moved_on(spans of, microseconds now);
+  static windows rotated(windows windows_of_route, microseconds now);
 
-  std::map<std::string, spans> routes_;
+  std::map<std::string, windows> routes_;
 };
 
 class shutdown_admission {
  public:
-  // The process had its notice at `now`, and ends at `ends_at`.
+  // Begins the shutdown at `now`; the process ends at `ends_at`. Later calls are ignored.
   void begin(microseconds now, microseconds ends_at);
-  bool begun() const { return ends_at_.has_value(); }
-  // `wanted`, or the time at which whoever waits for something must be answered, if that comes first.
-  microseconds bounded(microseconds wanted) const;
-  // The end has come: nothing new is taken.
+  bool has_begun() const { return ends_at_.has_value(); }
+  // The earlier of `time` and the time at which all waiting requests must be answered.
+  microseconds limit_to_shutdown(microseconds time) const;
+  // Whether the time has come at which all waiting requests are rejected.
   bool is_over(microseconds now) const;
-  // Whether a request that has come now can be answered in time. Its deadline tells for certain. Its client
-  // may not have heard of the shutdown in its first seconds: then what such requests take of late is enough.
-  bool may_take(microseconds deadline, std::optional<microseconds> longest_of_late, microseconds now) const;
+  // Whether a request that arrives now is accepted. It is if its deadline comes before the end. In the first
+  // seconds of a shutdown clients may not know of it yet: then it suffices that recent requests of the route
+  // (`recent_max`, the longest duration) were fast enough.
+  bool may_accept(microseconds deadline, std::optional<microseconds> recent_max, microseconds now) const;
 
  private:
   std::optional<microseconds> ends_at_;
--- a/tests/request_queue_test.cc
+++ b/tests/request_queue_test.cc
@@ -1,4 +1,4 @@
-// The order in which requests wait for an engine.
+// The order in which requests that wait for an engine are notified.
 #include "router/request_queue.h"
 
 #include <catch2/catch.hpp>
@@ -10,29 +10,29 @@
 
 namespace {
 
-runtime::task<> wait_in(std::shared_ptr<router::request_queue> list, runtime::handle runtime,
+runtime::task<> wait_in(std::shared_ptr<router::request_queue> queue, runtime::handle runtime,
                         std::int64_t urgency, std::string name,
                         std::shared_ptr<std::vector<std::string>> woken) {
   runtime::slot<bool> waiter(runtime);
-  list->add(urgency, waiter);
+  queue->add(urgency, waiter);
   co_await waiter.wait();
   woken->push_back(name);
 }
 
 }  // namespace
 
-TEST_CASE("the most urgent of the waiting requests is woken first, then the first to come") {
+TEST_CASE("waiting requests are notified by urgency, then by arrival") {
   simulator::world world(5);
   world.machine("node", "z");
   world.boot("node");
   auto runtime = world.runtime_of("node");
-  auto list = std::make_shared<router::request_queue>();
+  auto queue = std::make_shared<router::request_queue>();
   auto woken = std::make_shared<std::vector<std::string>>();
-  runtime.spawn(wait_in(list, runtime, 5, "usual", woken));
-  runtime.spawn(wait_in(list, runtime, 1, "urgent", woken));
-  runtime.spawn(wait_in(list, runtime, 5, "usual too", woken));
+  runtime.spawn(wait_in(queue, runtime, 5, "usual", woken));
+  runtime.spawn(wait_in(queue, runtime, 1, "urgent", woken));
+  runtime.spawn(wait_in(queue, runtime, 5, "usual too", woken));
   world.run_for(millisecond);
-  list->notify_all();
+  queue->notify_all();
   world.run_for(millisecond);
   CHECK(*woken == std::vector<std::string>{"urgent", "usual", "usual too"});
 }
--- a/tests/request_router_fixture.h
+++ b/tests/request_router_fixture.h
@@ -1,5 +1,5 @@
-// A request router with its storage machines, engines that do as they are told, and a client: all simulated,
-// in the platform's words.
+// A simulated request router with storage nodes, engines of scripted behaviour and a client, using the
+// platform's headers and formats.
 #pragma once
 #include <deque>
 
@@ -12,18 +12,19 @@
 
 using runtime::millisecond;
 
-struct seen_request {
+struct received_request {
   std::string engine, method, target, body;
   std::map<std::string, std::string> headers;
 };
 
-// What an engine does with its next request; by default it answers.
+// How an engine handles its next request; by default it answers 200 with its seal.
 struct behaviour {
   int status = 200;
   bool sealed = true, not_run = false, lost = false;
-  int events = 0, break_after = -1;  // of a stream
-  bool silent = false;               // takes the request and never answers
-  runtime::microseconds delay = 0;   // before the answer
+  // Of a stream: the number of its events, and the event in place of which the connection is cut (-1: none).
+  int events = 0, break_after = -1;
+  bool silent = false;              // accepts the request and never answers
+  runtime::microseconds delay = 0;  // before the answer
   std::map<std::string, std::string> headers = {};
 };
 
@@ -32,21 +33,21 @@
   std::shared_ptr<router::request_router> node_router;
   routing::table table;
   nlohmann::json listed = nlohmann::json::array();
-  std::vector<seen_request> seen;
+  std::vector<received_request> seen;
   std::map<std::string, std::deque<behaviour>> next;
   int attempts = 0;
-  std::vector<runtime::microseconds> gone_at;  // when engines were told that their request's sender left
-  std::vector<http_api::writer> held;          // of requests that are never answered
+  std::vector<runtime::microseconds> disconnected_at;  // times at which engines saw a client disconnect
+  std::vector<http_api::writer> unanswered;            // writers of requests that are never answered
 
   explicit request_router_fixture(std::uint64_t seed) : stores(seed) {
     auto writer = stores.begin();
     auto runtime = stores.world.runtime_of("w");
-    router::router_options choice;
-    choice.zone = "z";
+    router::router_options options;
+    options.zone = "z";
     logging::logger logger("w", [](auto&, auto&) {});
     node_router = std::make_shared<router::request_router>(runtime, logger, platform::make_adapter(),
                                                            ledger::program_ledger(writer),
-                                                           ledger::operation_ledger(writer), choice);
+                                                           ledger::operation_ledger(writer), options);
     runtime.http_serve("10.0.1.1:80", [node_router = node_router, runtime](runtime::inbound_request request,
                                                                            http_api::writer out) {
       runtime.spawn(node_router->serve(std::move(request), std::move(out)));
@@ -98,38 +99,39 @@
   }
   void serve(const std::string& id, runtime::inbound_request request, http_api::writer out) {
     seen.push_back({id, request.method, request.target, request.body, request.headers});
-    behaviour act;
+    behaviour action;
     if (!next[id].empty()) {
-      act = next[id].front();
+      action = next[id].front();
       next[id].pop_front();
     }
-    out->on_gone([this] { gone_at.push_back(stores.world.now()); });
-    if (act.lost) return out->cut();
-    if (act.silent) return held.push_back(out);
-    if (act.delay > 0)
-      stores.world.runtime_of(id).after(act.delay, [this, id, act, request, out]() mutable {
-        answer(id, act, std::move(request), std::move(out));
+    out->on_gone([this] { disconnected_at.push_back(stores.world.now()); });
+    if (action.lost) return out->cut();
+    if (action.silent) return unanswered.push_back(out);
+    if (action.delay > 0)
+      stores.world.runtime_of(id).after(action.delay, [this, id, action, request, out]() mutable {
+        answer(id, action, std::move(request), std::move(out));
       });
     else
-      answer(id, act, std::move(request), std::move(out));
+      answer(id, action, std::move(request), std::move(out));
   }
-  void answer(const std::string& id, behaviour act, runtime::inbound_request request, http_api::writer out) {
-    auto headers = act.headers;
+  void answer(const std::string& id, behaviour action, runtime::inbound_request request,
+              http_api::writer out) {
+    auto headers = action.headers;
     headers["X-Attempt-Id"] = request.headers["x-attempt-id"];
-    if (act.sealed && act.status == 200) headers["X-Server-Seal"] = "seal";
-    if (act.not_run) headers["X-Not-Executed"] = "1";
-    if (act.events == 0) return out->reply({act.status, headers, "body of " + id});
+    if (action.sealed && action.status == 200) headers["X-Server-Seal"] = "seal";
+    if (action.not_run) headers["X-Not-Executed"] = "1";
+    if (action.events == 0) return out->reply({action.status, headers, "body of " + id});
     headers["Content-Type"] = "text/event-stream";
-    out->start(act.status, headers);
-    for (int number = 1; number <= act.events; ++number) {
-      if (number == act.break_after) return out->cut();
+    out->start(action.status, headers);
+    for (int number = 1; number <= action.events; ++number) {
+      if (number == action.break_after) return out->cut();
       out->piece("id: " + std::to_string(number) + "\ndata: e" + std::to_string(number) + "\n\n");
     }
     out->finish();
   }
   struct outcome {
-    int status = 0;  // 0: no answer
-    bool whole = false;
+    int status = 0;  // 0: no response
+    bool complete = false;
     std::map<std::string, std::string> headers;
     std::string body;
   };
@@ -145,7 +147,7 @@
       }
       if (auto* piece = std::get_if<runtime::http_piece>(&*event)) result.body += piece->bytes;
       if (std::holds_alternative<runtime::http_end>(*event)) {
-        result.whole = true;
+        result.complete = true;
         co_return result;
       }
     }
@@ -153,16 +155,16 @@
   std::string last_attempt() const { return "a" + std::to_string(attempts); }
   outcome request(const std::string& method, const std::string& path, const std::string& body,
                   std::map<std::string, std::string> headers = {}) {
-    runtime::http_request asked;
-    asked.method = method;
-    asked.path = path;
-    asked.body = body;
-    asked.headers = std::move(headers);
-    asked.headers["host"] = "h.example";
+    runtime::http_request outgoing;
+    outgoing.method = method;
+    outgoing.path = path;
+    outgoing.body = body;
+    outgoing.headers = std::move(headers);
+    outgoing.headers["host"] = "h.example";
     ++attempts;
-    asked.headers["X-Attempt-Id"] = last_attempt();
-    asked.headers["X-Time-Left-Ms"] = "3000";
-    return stores.run("client", ask(stores.world.runtime_of("client"), std::move(asked)));
+    outgoing.headers["X-Attempt-Id"] = last_attempt();
+    outgoing.headers["X-Time-Left-Ms"] = "3000";
+    return stores.run("client", ask(stores.world.runtime_of("client"), std::move(outgoing)));
   }
 };
 
--- a/tests/request_router_test.cc
+++ b/tests/request_router_test.cc
@@ -1,188 +1,191 @@
-// Requests through the router: what goes on unchanged, what is tried again, and what a client is told.
+// Requests through the router: forwarding, retries, kept turns, budgets, and the responses that clients get.
 #include "request_router_fixture.h"
 
 using namespace herontally;
 using namespace herontally::tests;
 
-TEST_CASE("a request and its answer go through unchanged") {
-  request_router_fixture here(11);
-  here.engine("one", "apps");
-  here.begin();
-  auto got = here.request("POST", "/write/x%20y?q=1&r=%2F", "a body",
-                          {{"X-Other", "kept"}, {"Connection", "X-Hop"}, {"X-Hop", "dropped"}});
-  CHECK(got.status == 200);
-  CHECK(got.body == "body of one");
-  CHECK(got.headers["x-server-seal"] == "seal");
-  REQUIRE(here.seen.size() == 1);
-  CHECK(here.seen[0].method == "POST");
-  CHECK(here.seen[0].target == "/write/x%20y?q=1&r=%2F");
-  CHECK(here.seen[0].body == "a body");
-  CHECK(here.seen[0].headers["x-other"] == "kept");
-  CHECK_FALSE(here.seen[0].headers.count("x-hop"));
-  CHECK(here.seen[0].headers["host"] == "h.example");
-  CHECK(here.seen[0].headers["x-target-instance"] == "one");
-  CHECK(std::stoi(here.seen[0].headers["x-time-left-ms"]) <= 3000);
+TEST_CASE("a request and its answer are forwarded unchanged") {
+  request_router_fixture fixture(11);
+  fixture.engine("one", "apps");
+  fixture.begin();
+  auto response = fixture.request("POST", "/write/x%20y?q=1&r=%2F", "a body",
+                                  {{"X-Other", "kept"}, {"Connection", "X-Hop"}, {"X-Hop", "dropped"}});
+  CHECK(response.status == 200);
+  CHECK(response.body == "body of one");
+  CHECK(response.headers["x-server-seal"] == "seal");
+  REQUIRE(fixture.seen.size() == 1);
+  CHECK(fixture.seen[0].method == "POST");
+  CHECK(fixture.seen[0].target == "/write/x%20y?q=1&r=%2F");
+  CHECK(fixture.seen[0].body == "a body");
+  CHECK(fixture.seen[0].headers["x-other"] == "kept");
+  CHECK_FALSE(fixture.seen[0].headers.count("x-hop"));
+  CHECK(fixture.seen[0].headers["host"] == "h.example");
+  CHECK(fixture.seen[0].headers["x-target-instance"] == "one");
+  CHECK(std::stoi(fixture.seen[0].headers["x-time-left-ms"]) <= 3000);
 }
 
-TEST_CASE("where no route matches the answer is 404, and before anything is in force when to come back") {
-  request_router_fixture here(12);
-  auto early = here.request("GET", "/fetch/1", "");
+TEST_CASE(
+    "a request without a matching route gets 404, and one before the first configuration gets Retry-After") {
+  request_router_fixture fixture(12);
+  auto early = fixture.request("GET", "/fetch/1", "");
   CHECK(early.status == 503);
   CHECK_FALSE(early.headers["retry-after"].empty());
-  here.engine("one", "apps");
-  here.begin();
-  CHECK(here.request("GET", "/nowhere/1", "").status == 404);
-  CHECK(here.request("GET", "/fetch", "").status == 404);
-  CHECK(here.seen.empty());
+  fixture.engine("one", "apps");
+  fixture.begin();
+  CHECK(fixture.request("GET", "/nowhere/1", "").status == 404);
+  CHECK(fixture.request("GET", "/fetch", "").status == 404);
+  CHECK(fixture.seen.empty());
 }
 
-TEST_CASE("what may run once is sent once, and a lost answer promises nothing") {
-  request_router_fixture here(13);
-  here.engine("one", "apps");
-  here.engine("two", "apps");
-  here.begin();
-  here.next["one"] = here.next["two"] = {behaviour{.lost = true}};
-  auto got = here.request("POST", "/write/1", "x");
-  CHECK(got.status == 502);
-  CHECK(here.seen.size() == 1);
+TEST_CASE("a mutating request is sent once, and gets 502 if its answer is lost") {
+  request_router_fixture fixture(13);
+  fixture.engine("one", "apps");
+  fixture.engine("two", "apps");
+  fixture.begin();
+  fixture.next["one"] = fixture.next["two"] = {behaviour{.lost = true}};
+  auto response = fixture.request("POST", "/write/1", "x");
+  CHECK(response.status == 502);
+  CHECK(fixture.seen.size() == 1);
 }
 
-TEST_CASE("a request that may be repeated goes to another engine, as often as its route allows") {
-  request_router_fixture here(14);
-  for (auto* id : {"one", "two", "three", "four"}) here.engine(id, "apps");
-  here.begin();
-  for (auto* id : {"one", "two", "three", "four"}) here.next[id] = {behaviour{.lost = true}};
-  CHECK(here.request("GET", "/fetch/1", "").status == 502);
-  CHECK(here.seen.size() == 3);
+TEST_CASE("an idempotent request is retried at other engines, as often as its route allows") {
+  request_router_fixture fixture(14);
+  for (auto* id : {"one", "two", "three", "four"}) fixture.engine(id, "apps");
+  fixture.begin();
+  for (auto* id : {"one", "two", "three", "four"}) fixture.next[id] = {behaviour{.lost = true}};
+  CHECK(fixture.request("GET", "/fetch/1", "").status == 502);
+  CHECK(fixture.seen.size() == 3);
   std::set<std::string> engines;
-  for (auto& each : here.seen) engines.insert(each.engine);
+  for (auto& each : fixture.seen) engines.insert(each.engine);
   CHECK(engines.size() == 3);
 }
 
-TEST_CASE("an engine's promise becomes ours; any other refusal of it does not") {
-  request_router_fixture here(15);
-  here.engine("one", "apps");
-  here.begin();
-  here.next["one"] = {behaviour{.status = 503, .not_run = true}};
-  auto got = here.request("POST", "/write/1", "x");
-  CHECK(got.status == 503);
-  CHECK_FALSE(got.headers["retry-after"].empty());
-  here.next["one"] = {behaviour{.status = 503}};
-  CHECK(here.request("POST", "/write/1", "x").status == 502);
-  here.next["one"] = {behaviour{.status = 500}};
-  CHECK(here.request("POST", "/write/1", "x").status == 500);
+TEST_CASE("a 503 is passed on only if the engine states that it did not run the request") {
+  request_router_fixture fixture(15);
+  fixture.engine("one", "apps");
+  fixture.begin();
+  fixture.next["one"] = {behaviour{.status = 503, .not_run = true}};
+  auto response = fixture.request("POST", "/write/1", "x");
+  CHECK(response.status == 503);
+  CHECK_FALSE(response.headers["retry-after"].empty());
+  fixture.next["one"] = {behaviour{.status = 503}};
+  CHECK(fixture.request("POST", "/write/1", "x").status == 502);
+  fixture.next["one"] = {behaviour{.status = 500}};
+  CHECK(fixture.request("POST", "/write/1", "x").status == 500);
 }
 
-TEST_CASE("a success without the engine's stamp is none") {
-  request_router_fixture here(16);
-  here.engine("one", "apps");
-  here.begin();
-  here.next["one"] = {behaviour{.sealed = false}};
-  CHECK(here.request("POST", "/write/1", "x").status == 502);
+TEST_CASE("a success without the engine's seal gets 502") {
+  request_router_fixture fixture(16);
+  fixture.engine("one", "apps");
+  fixture.begin();
+  fixture.next["one"] = {behaviour{.sealed = false}};
+  CHECK(fixture.request("POST", "/write/1", "x").status == 502);
 }
 
-TEST_CASE("another engine at the address is noticed, and the request goes to the one that is there") {
-  request_router_fixture here(17);
-  here.engine("one", "apps");
-  here.engine("two", "apps");
-  here.begin();
+TEST_CASE(
+    "an answer of another instance at the address is detected, and the request goes to another engine") {
+  request_router_fixture fixture(17);
+  fixture.engine("one", "apps");
+  fixture.engine("two", "apps");
+  fixture.begin();
   behaviour other{.status = 421};
   other.headers["X-Instance"] = "somebody";
-  here.next["one"] = here.next["two"] = {other};
-  auto got = here.request("POST", "/write/1", "x");
-  // Both places have changed hands: nothing ran, and the client is told so.
-  CHECK(got.status == 503);
-  CHECK(here.seen.size() == 2);
+  fixture.next["one"] = fixture.next["two"] = {other};
+  auto response = fixture.request("POST", "/write/1", "x");
+  // Other instances serve both addresses: nothing ran, which is what 503 tells the client.
+  CHECK(response.status == 503);
+  CHECK(fixture.seen.size() == 2);
 }
 
-TEST_CASE("a kept turn gets the chain before it, and nothing but that") {
-  request_router_fixture here(18);
-  here.engine("model", "models");
-  here.begin();
-  here.next["model"] = {behaviour{.events = 2}, behaviour{.events = 1}, behaviour{.events = 1}};
+TEST_CASE("the engine gets a kept turn with exactly the chain of turns before it") {
+  request_router_fixture fixture(18);
+  fixture.engine("model", "models");
+  fixture.begin();
+  fixture.next["model"] = {behaviour{.events = 2}, behaviour{.events = 1}, behaviour{.events = 1}};
   std::string first_input = std::string("in\xff\x01", 4) + "1";
-  auto first = here.request("POST", "/turn/1", first_input);
+  auto first = fixture.request("POST", "/turn/1", first_input);
   CHECK(first.status == 200);
-  CHECK(first.whole);
+  CHECK(first.complete);
   CHECK(first.body == "id: 1\ndata: e1\n\nid: 2\ndata: e2\n\n");
-  std::string turn = here.last_attempt();
-  CHECK(here.request("POST", "/turn/1", "in2", {{"X-Previous-Turn", turn}}).status == 200);
-  std::string second_turn = here.last_attempt();
-  CHECK(here.seen.back().body == first_input + "e1\ne2\nin2");
-  // A branch goes on from the first turn again.
-  here.request("POST", "/turn/1", "in3", {{"X-Previous-Turn", turn}});
-  CHECK(here.seen.back().body == first_input + "e1\ne2\nin3");
-  here.next["model"] = {behaviour{.events = 1}};
-  here.request("POST", "/turn/1", "in4", {{"X-Previous-Turn", second_turn}});
-  CHECK(here.seen.back().body == first_input + "e1\ne2\nin2e1\nin4");
-  auto count = here.seen.size();
-  CHECK(here.request("POST", "/turn/1", "x", {{"X-Previous-Turn", "nobody"}}).status == 404);
-  CHECK(here.seen.size() == count);
+  std::string turn = fixture.last_attempt();
+  CHECK(fixture.request("POST", "/turn/1", "in2", {{"X-Previous-Turn", turn}}).status == 200);
+  std::string second_turn = fixture.last_attempt();
+  CHECK(fixture.seen.back().body == first_input + "e1\ne2\nin2");
+  // A branch: another turn that continues from the first one.
+  fixture.request("POST", "/turn/1", "in3", {{"X-Previous-Turn", turn}});
+  CHECK(fixture.seen.back().body == first_input + "e1\ne2\nin3");
+  fixture.next["model"] = {behaviour{.events = 1}};
+  fixture.request("POST", "/turn/1", "in4", {{"X-Previous-Turn", second_turn}});
+  CHECK(fixture.seen.back().body == first_input + "e1\ne2\nin2e1\nin4");
+  auto count = fixture.seen.size();
+  CHECK(fixture.request("POST", "/turn/1", "x", {{"X-Previous-Turn", "nobody"}}).status == 404);
+  CHECK(fixture.seen.size() == count);
 }
 
-TEST_CASE("a turn is kept with the chain before it, however old that is") {
-  request_router_fixture here(26);
+TEST_CASE("a turn stays readable with its chain after earlier turns of the chain have expired") {
+  request_router_fixture fixture(26);
   for (auto* name : {"s1", "s2", "s3"})
-    here.stores.world.runtime_of(name).spawn(storage_node::expire_programs_forever(
-        *here.stores.voters[name], here.stores.world.runtime_of(name), here.stores.loggers.at(name)));
-  here.engine("model", "models");
-  here.begin();
-  here.next["model"] = {behaviour{.events = 1}, behaviour{.events = 1}, behaviour{.events = 1}};
-  REQUIRE(here.request("POST", "/turn/1", "in1").status == 200);
-  auto first = here.last_attempt();
-  // Each of the next turns goes on from one that is 50 s old; they are kept for 60 s.
+    fixture.stores.world.runtime_of(name).spawn(storage_node::expire_programs_forever(
+        *fixture.stores.voters[name], fixture.stores.world.runtime_of(name),
+        fixture.stores.loggers.at(name)));
+  fixture.engine("model", "models");
+  fixture.begin();
+  fixture.next["model"] = {behaviour{.events = 1}, behaviour{.events = 1}, behaviour{.events = 1}};
+  REQUIRE(fixture.request("POST", "/turn/1", "in1").status == 200);
+  auto first = fixture.last_attempt();
+  // Each further turn continues one that is 50 s old; turns are kept for 60 s.
   constexpr auto age = 50 * second;
-  here.stores.world.run_for(age);
-  REQUIRE(here.request("POST", "/turn/1", "in2", {{"X-Previous-Turn", first}}).status == 200);
-  auto second_turn = here.last_attempt();
-  here.stores.world.run_for(age);
-  REQUIRE(here.request("POST", "/turn/1", "in3", {{"X-Previous-Turn", second_turn}}).status == 200);
-  CHECK(here.seen.back().body == "in1e1\nin2e1\nin3");
-  auto third = here.last_attempt();
-  here.stores.world.run_for(age);
-  // Another node, which has nothing in its memory.
-  ledger::program_ledger elsewhere(here.stores.writer("w2"));
-  auto read = elsewhere.read_chain(third, here.stores.deadline("w2", 2 * second));
-  auto chain = here.stores.run("w2", std::move(read));
+  fixture.stores.world.run_for(age);
+  REQUIRE(fixture.request("POST", "/turn/1", "in2", {{"X-Previous-Turn", first}}).status == 200);
+  auto second_turn = fixture.last_attempt();
+  fixture.stores.world.run_for(age);
+  REQUIRE(fixture.request("POST", "/turn/1", "in3", {{"X-Previous-Turn", second_turn}}).status == 200);
+  CHECK(fixture.seen.back().body == "in1e1\nin2e1\nin3");
+  auto third = fixture.last_attempt();
+  fixture.stores.world.run_for(age);
+  // Another node, which has nothing cached in memory.
+  ledger::program_ledger elsewhere(fixture.stores.writer("w2"));
+  auto read = elsewhere.read_chain(third, fixture.stores.deadline("w2", 2 * second));
+  auto chain = fixture.stores.run("w2", std::move(read));
   REQUIRE(chain.status == ledger::chain_status::found);
-  std::string whole;
-  for (auto& turn : chain.turns) whole += turn.input + turn.output;
-  CHECK(whole == "in1e1\nin2e1\nin3e1\n");
+  std::string text;
+  for (auto& turn : chain.turns) text += turn.input + turn.output;
+  CHECK(text == "in1e1\nin2e1\nin3e1\n");
 }
 
-TEST_CASE("a stream that breaks off looks so, and is no turn to go on from") {
-  request_router_fixture here(19);
-  here.engine("model", "models");
-  here.begin();
-  here.next["model"] = {behaviour{.events = 3, .break_after = 2}};
-  auto got = here.request("POST", "/turn/1", "in");
-  CHECK_FALSE(got.whole);
-  CHECK(here.request("POST", "/turn/1", "x", {{"X-Previous-Turn", here.last_attempt()}}).status == 404);
+TEST_CASE("a stream that breaks off is cut for the client, and its turn can't be continued") {
+  request_router_fixture fixture(19);
+  fixture.engine("model", "models");
+  fixture.begin();
+  fixture.next["model"] = {behaviour{.events = 3, .break_after = 2}};
+  auto response = fixture.request("POST", "/turn/1", "in");
+  CHECK_FALSE(response.complete);
+  CHECK(fixture.request("POST", "/turn/1", "x", {{"X-Previous-Turn", fixture.last_attempt()}}).status == 404);
 }
 
-TEST_CASE("a turn is refused once the budget is spent, and not before") {
-  request_router_fixture here(20);
-  here.engine("model", "models");
-  here.begin();
+TEST_CASE("a turn is rejected once the budget is spent, and not before") {
+  request_router_fixture fixture(20);
+  fixture.engine("model", "models");
+  fixture.begin();
   std::map<std::string, std::string> program{
       {"X-Program", "p"}, {"X-Token-Budget", "16"}, {"X-Token-Count", "100,12"}};
-  for (int turn = 0; turn < 4; ++turn) here.next["model"].push_back(behaviour{.events = 2});
+  for (int turn = 0; turn < 4; ++turn) fixture.next["model"].push_back(behaviour{.events = 2});
   // Eight tokens each: two turns spend the budget of 16.
-  CHECK(here.request("POST", "/turn/1", "in", program).status == 200);
-  here.stores.world.run_for(second);
-  CHECK(here.request("POST", "/turn/1", "in", program).status == 200);
-  here.stores.world.run_for(second);
-  CHECK(here.request("POST", "/turn/1", "in", program).status == 402);
-  CHECK(here.seen.size() == 2);
+  CHECK(fixture.request("POST", "/turn/1", "in", program).status == 200);
+  fixture.stores.world.run_for(second);
+  CHECK(fixture.request("POST", "/turn/1", "in", program).status == 200);
+  fixture.stores.world.run_for(second);
+  CHECK(fixture.request("POST", "/turn/1", "in", program).status == 402);
+  CHECK(fixture.seen.size() == 2);
 }
 
-TEST_CASE("without a majority of the stores a kept turn is neither run nor denied") {
-  request_router_fixture here(21);
-  here.engine("model", "models");
-  here.begin();
-  for (auto* name : {"s1", "s2"}) here.stores.world.kill(name, simulator::disk_loss::none);
-  auto got = here.request("POST", "/turn/1", "in", {{"X-Previous-Turn", "unknown"}});
-  CHECK(got.status == 503);
-  CHECK_FALSE(got.headers["retry-after"].empty());
-  CHECK(here.seen.empty());
+TEST_CASE("without a majority of the stores a turn that continues a chain gets 503 and is not run") {
+  request_router_fixture fixture(21);
+  fixture.engine("model", "models");
+  fixture.begin();
+  for (auto* name : {"s1", "s2"}) fixture.stores.world.kill(name, simulator::disk_loss::none);
+  auto response = fixture.request("POST", "/turn/1", "in", {{"X-Previous-Turn", "unknown"}});
+  CHECK(response.status == 503);
+  CHECK_FALSE(response.headers["retry-after"].empty());
+  CHECK(fixture.seen.empty());
 }
--- a/tests/router_plan_test.cc
+++ b/tests/router_plan_test.cc
@@ -1,4 +1,4 @@
-// Events as they pass, and the plan of an attempt.
+// The event scanner and the plan of an attempt.
 #include <catch2/catch.hpp>
 #include <random>
 
@@ -9,7 +9,7 @@
 using runtime::millisecond;
 using runtime::second;
 
-TEST_CASE("events are counted and gathered however they are cut") {
+TEST_CASE("events are counted and collected however the stream is split") {
   std::string stream =
       ": hello\n\nid: 1\ndata: one\n\nid: 2\ndata: two\ndata: more\n\nid:3\ndata:\n\nid: 4\r\ndata: "
       "x\r\n\r\n";
@@ -29,7 +29,7 @@
   }
 }
 
-TEST_CASE("an event counts once it is whole") {
+TEST_CASE("an event counts once it is complete") {
   router::event_scanner scanner(false);
   scanner.feed("id: 1\ndata: a\n\nid: 2\ndata: b\n");
   CHECK(scanner.events() == 1);
@@ -51,7 +51,7 @@
   router::node_group group{3, 0};
 
   plan_fixture() {
-    // Of model engines, unless a case says otherwise.
+    // The service has a model, unless a test case changes it.
     routing::service service;
     service.name = "s";
     service.connections = 60;
@@ -69,14 +69,14 @@
         platform_protocol::listed_engine{id, "s", "10.0.0.1:80", zone, "", capacity, cold, false});
     engines.set_list(listed.dump(), now);
   }
-  std::variant<router::plan, router::unplanned> plan(platform_protocol::request_metadata metadata = {}) {
-    router::subject asked{table.routes[0], table.services[0], metadata, {}, 1};
+  std::variant<router::plan, router::no_plan> plan(platform_protocol::request_metadata metadata = {}) {
+    router::subject request{table.routes[0], table.services[0], metadata, {}, 1};
     router::planning_context context{table, evacuated, "a", 3, group, now, now};
-    return router::make_plan(asked, engines, context, random);
+    return router::make_plan(request, engines, context, random);
   }
-  std::string chosen(platform_protocol::request_metadata metadata = {}) {
-    auto made = plan(std::move(metadata));
-    auto* found = std::get_if<router::plan>(&made);
+  std::string planned_engine(platform_protocol::request_metadata metadata = {}) {
+    auto planned = plan(std::move(metadata));
+    auto* found = std::get_if<router::plan>(&planned);
     return found ? found->engine_id : "";
   }
 };
@@ -90,130 +90,130 @@
 
 }  // namespace
 
-TEST_CASE("load decides before what is kept, and what is kept among engines alike in load") {
-  plan_fixture here;
-  here.engine("one", "a");
-  here.engine("two", "b");
-  here.engines.prefixes().note(1, router::part_keys(prompt(), here.table.routes[0]), here.now);
-  CHECK(here.chosen(prompt()) == "two");
-  // Work within what the prompt itself would cost is alike; beyond that it decides.
-  here.engines.sent(1, 1000, here.now);
-  CHECK(here.chosen(prompt()) == "two");
-  here.engines.sent(1, 1000, here.now);
-  CHECK(here.chosen(prompt()) == "one");
-  // What was read and what lies back a while counts no more.
-  here.engines.begun(1, 1000);
-  here.engines.begun(1, 1000);
-  here.engines.ended(1);
-  here.now += 5 * second;
-  CHECK(here.chosen(prompt()) == "two");
+TEST_CASE("load decides before cached prefixes, and cached prefixes decide among equally loaded engines") {
+  plan_fixture fixture;
+  fixture.engine("one", "a");
+  fixture.engine("two", "b");
+  fixture.engines.prefixes().note(1, router::part_keys(prompt(), fixture.table.routes[0]), fixture.now);
+  CHECK(fixture.planned_engine(prompt()) == "two");
+  // A difference in load up to the length of the prompt doesn't count; beyond that it decides.
+  fixture.engines.sent(1, 1000, fixture.now);
+  CHECK(fixture.planned_engine(prompt()) == "two");
+  fixture.engines.sent(1, 1000, fixture.now);
+  CHECK(fixture.planned_engine(prompt()) == "one");
+  // Prompts that were read, and requests sent a while ago, no longer count.
+  fixture.engines.started_answering(1, 1000);
+  fixture.engines.started_answering(1, 1000);
+  fixture.engines.ended(1);
+  fixture.now += 5 * second;
+  CHECK(fixture.planned_engine(prompt()) == "two");
 }
 
-TEST_CASE("the same parts of another model, or behind other parts, are nothing worth") {
-  plan_fixture here;
-  here.engine("one", "b");
-  here.engine("two", "b");
-  here.engines.prefixes().note(1, router::part_keys(prompt(), here.table.routes[0]), here.now);
+TEST_CASE("the same parts of another model, or after other parts, do not count as cached") {
+  plan_fixture fixture;
+  fixture.engine("one", "b");
+  fixture.engine("two", "b");
+  fixture.engines.prefixes().note(1, router::part_keys(prompt(), fixture.table.routes[0]), fixture.now);
   auto other = prompt();
   other.model = "n";
-  auto made = here.plan(other);
-  CHECK(std::get<router::plan>(made).cached_tokens == 0);
+  auto planned = fixture.plan(other);
+  CHECK(std::get<router::plan>(planned).cached_tokens == 0);
   auto moved = prompt();
   std::swap(moved.parts[0], moved.parts[1]);
-  made = here.plan(moved);
-  CHECK(std::get<router::plan>(made).cached_tokens == 0);
+  planned = fixture.plan(moved);
+  CHECK(std::get<router::plan>(planned).cached_tokens == 0);
 }
 
-TEST_CASE("engines that leave, stand in an evacuated zone or failed are not taken") {
-  plan_fixture here;
-  here.engine("one", "a");
-  here.engine("two", "b");
-  here.evacuated = {"a"};
-  CHECK(here.chosen() == "two");
-  here.engines.set_draining({"two"});
-  CHECK(here.chosen().empty());
-  here.evacuated.clear();
-  CHECK(here.chosen() == "one");
-  here.engines.failed(0, true, here.now);
-  CHECK(here.chosen().empty());
-  // After its time out of use one request tries it, and no second one before that has ended.
-  here.now += 5 * second;
-  CHECK(here.chosen() == "one");
-  here.engines.sent(0, 0, here.now);
-  CHECK(here.chosen().empty());
-  here.engines.answered(0, {}, here.now);
-  CHECK(here.chosen() == "one");
+TEST_CASE("draining, evacuated and ejected engines are not chosen") {
+  plan_fixture fixture;
+  fixture.engine("one", "a");
+  fixture.engine("two", "b");
+  fixture.evacuated = {"a"};
+  CHECK(fixture.planned_engine() == "two");
+  fixture.engines.set_draining({"two"});
+  CHECK(fixture.planned_engine().empty());
+  fixture.evacuated.clear();
+  CHECK(fixture.planned_engine() == "one");
+  fixture.engines.failed(0, true, fixture.now);
+  CHECK(fixture.planned_engine().empty());
+  // After the ejection one request probes the engine, and no second one before it is answered.
+  fixture.now += 5 * second;
+  CHECK(fixture.planned_engine() == "one");
+  fixture.engines.sent(0, 0, fixture.now);
+  CHECK(fixture.planned_engine().empty());
+  fixture.engines.answered(0, {}, fixture.now);
+  CHECK(fixture.planned_engine() == "one");
 }
 
-TEST_CASE("a cold engine gets this node's part of its rate in any second") {
-  plan_fixture here;
-  here.engine("one", "a", 64, 3000);
+TEST_CASE("an engine in slow start gets this node's share of its rate in any second") {
+  plan_fixture fixture;
+  fixture.engine("one", "a", 64, 3000);
   int sent = 0;
   for (int turn = 0; turn < 100; ++turn) {
-    here.now += 10 * millisecond;
-    if (here.chosen().empty()) continue;
-    here.engines.sent(0, 0, here.now);
-    here.engines.ended(0);
+    fixture.now += 10 * millisecond;
+    if (fixture.planned_engine().empty()) continue;
+    fixture.engines.sent(0, 0, fixture.now);
+    fixture.engines.ended(0);
     ++sent;
   }
-  // 12 a second for three nodes.
+  // 12 requests per second for three nodes.
   CHECK(sent == 4);
-  // A node that the others don't count has no part.
-  here.now += second;
-  here.group.rank = -1;
-  CHECK(here.chosen().empty());
-  here.now += 4 * second;
-  CHECK(here.chosen() == "one");
+  // A node that is not in the list has no share.
+  fixture.now += second;
+  fixture.group.rank = -1;
+  CHECK(fixture.planned_engine().empty());
+  fixture.now += 4 * second;
+  CHECK(fixture.planned_engine() == "one");
 }
 
-TEST_CASE("an engine at which all of this node's connections are in use gets nothing more") {
-  plan_fixture here;
-  here.engine("one", "a");
-  // 60 connections for three nodes and two more: twelve each.
+TEST_CASE("an engine gets no more requests than this node's share of its connections") {
+  plan_fixture fixture;
+  fixture.engine("one", "a");
+  // 60 connections for the three nodes and two more: 12 each.
   for (int sent = 0; sent < 12; ++sent) {
-    CHECK(here.chosen() == "one");
-    here.engines.sent(0, 0, here.now);
+    CHECK(fixture.planned_engine() == "one");
+    fixture.engines.sent(0, 0, fixture.now);
   }
-  CHECK(here.chosen().empty());
-  here.engines.ended(0);
-  CHECK(here.chosen() == "one");
+  CHECK(fixture.planned_engine().empty());
+  fixture.engines.ended(0);
+  CHECK(fixture.planned_engine() == "one");
 }
 
-TEST_CASE("a source is named when its lead is over the threshold, and only among engines free to lend") {
-  plan_fixture here;
-  here.table.services[0].model->min_cached_token_delta = 2048;
-  here.engine("one", "a");
-  here.engine("two", "b");
-  here.engines.prefixes().note(1, router::part_keys(prompt(), here.table.routes[0]), here.now);
-  for (int turn = 0; turn < 8; ++turn) here.engines.sent(1, 1000, here.now);
-  auto made = here.plan(prompt());
-  auto& plan = std::get<router::plan>(made);
+TEST_CASE("a source is named if its lead exceeds the threshold and its zone is not evacuated") {
+  plan_fixture fixture;
+  fixture.table.services[0].model->min_cached_token_delta = 2048;
+  fixture.engine("one", "a");
+  fixture.engine("two", "b");
+  fixture.engines.prefixes().note(1, router::part_keys(prompt(), fixture.table.routes[0]), fixture.now);
+  for (int turn = 0; turn < 8; ++turn) fixture.engines.sent(1, 1000, fixture.now);
+  auto planned = fixture.plan(prompt());
+  auto& plan = std::get<router::plan>(planned);
   CHECK(plan.engine_id == "one");
   CHECK(plan.source == "two");
   CHECK(plan.source_tokens == 2960);
-  here.evacuated = {"b"};
-  made = here.plan(prompt());
-  CHECK_FALSE(std::get<router::plan>(made).source);
-  here.evacuated.clear();
-  here.table.services[0].model->min_cached_token_delta = 2960;
-  made = here.plan(prompt());
-  CHECK_FALSE(std::get<router::plan>(made).source);
-  here.table.services[0].model->min_cached_token_delta.reset();
-  made = here.plan(prompt());
-  CHECK_FALSE(std::get<router::plan>(made).source);
+  fixture.evacuated = {"b"};
+  planned = fixture.plan(prompt());
+  CHECK_FALSE(std::get<router::plan>(planned).source);
+  fixture.evacuated.clear();
+  fixture.table.services[0].model->min_cached_token_delta = 2960;
+  planned = fixture.plan(prompt());
+  CHECK_FALSE(std::get<router::plan>(planned).source);
+  fixture.table.services[0].model->min_cached_token_delta.reset();
+  planned = fixture.plan(prompt());
+  CHECK_FALSE(std::get<router::plan>(planned).source);
 }
 
-// Guards against review case 2 (FAULT): a turn that names so many tokens that no engine seems good enough.
-TEST_CASE("a prompt of any size is placed, however often it is sent") {
-  plan_fixture here;
-  here.engine("one", "a");
-  here.engine("two", "b");
+// Review case 2 (FAULT): for a turn that states a huge number of tokens no engine was considered good enough.
+TEST_CASE("a prompt of any stated length is placed, however often it is sent") {
+  plan_fixture fixture;
+  fixture.engine("one", "a");
+  fixture.engine("two", "b");
   auto metadata = prompt();
   metadata.parts = {{"p", 2'000'000'000}};
   for (int turn = 0; turn < 8; ++turn) {
-    auto made = here.plan(metadata);
-    auto* found = std::get_if<router::plan>(&made);
+    auto planned = fixture.plan(metadata);
+    auto* found = std::get_if<router::plan>(&planned);
     REQUIRE(found);
-    here.engines.sent(found->engine, found->unread_tokens, here.now);
+    fixture.engines.sent(found->engine, found->unread_tokens, fixture.now);
   }
 }
--- a/tests/shutdown_admission_test.cc
+++ b/tests/shutdown_admission_test.cc
@@ -1,4 +1,4 @@
-// Which requests a process that is about to end still takes, and what becomes of those that wait in it.
+// Which requests a process that is shutting down still accepts, and how its waiting requests end.
 #include "router/shutdown_admission.h"
 
 #include "request_router_fixture.h"
@@ -8,86 +8,87 @@
 using router::route_durations;
 using router::shutdown_admission;
 
-TEST_CASE("before a shutdown every request is taken") {
+TEST_CASE("before a shutdown every request is accepted") {
   shutdown_admission admission;
-  CHECK(admission.may_take(100 * second, std::nullopt, 90 * second));
-  CHECK(admission.bounded(100 * second) == 100 * second);
+  CHECK(admission.may_accept(100 * second, std::nullopt, 90 * second));
+  CHECK(admission.limit_to_shutdown(100 * second) == 100 * second);
   CHECK_FALSE(admission.is_over(1000 * second));
 }
 
-// Guards against review case 3 (LOST): requests taken after a notice that can't end before the process does.
-TEST_CASE("during a shutdown a request is taken if its deadline comes before the end") {
+// Review case 3 (LOST): after the notice requests were accepted that couldn't finish before the process
+// ended.
+TEST_CASE("during a shutdown a request is accepted if its deadline comes before the end") {
   shutdown_admission admission;
   admission.begin(10 * second, 17 * second);
-  CHECK(admission.may_take(16 * second, std::nullopt, 12 * second));
-  CHECK_FALSE(admission.may_take(17 * second, std::nullopt, 12 * second));
-  CHECK_FALSE(admission.may_take(20 * second, std::nullopt, 15 * second));
-  // Late: whatever such requests have taken.
-  CHECK_FALSE(admission.may_take(20 * second, 50 * millisecond, 15 * second));
+  CHECK(admission.may_accept(16 * second, std::nullopt, 12 * second));
+  CHECK_FALSE(admission.may_accept(17 * second, std::nullopt, 12 * second));
+  CHECK_FALSE(admission.may_accept(20 * second, std::nullopt, 15 * second));
+  // Late in the shutdown recent durations don't count.
+  CHECK_FALSE(admission.may_accept(20 * second, 50 * millisecond, 15 * second));
 }
 
-TEST_CASE("in a shutdown's first seconds what such requests have taken is enough") {
+TEST_CASE("in the first seconds of a shutdown a request is accepted if recent ones were fast enough") {
   shutdown_admission admission;
   admission.begin(10 * second, 17 * second);
-  CHECK(admission.may_take(40 * second, 2 * second, 11 * second));
-  CHECK_FALSE(admission.may_take(40 * second, 12 * second, 11 * second));
-  CHECK_FALSE(admission.may_take(40 * second, std::nullopt, 11 * second));
+  CHECK(admission.may_accept(40 * second, 2 * second, 11 * second));
+  CHECK_FALSE(admission.may_accept(40 * second, 12 * second, 11 * second));
+  CHECK_FALSE(admission.may_accept(40 * second, std::nullopt, 11 * second));
 }
 
-TEST_CASE("a shutdown that is over takes nothing, also in a process that was frozen past its end") {
+TEST_CASE("after the end of a shutdown nothing is accepted, even in a process that was frozen past the end") {
   shutdown_admission admission;
   admission.begin(10 * second, 17 * second);
   CHECK(admission.is_over(17 * second));
-  CHECK_FALSE(admission.may_take(26 * second, 10 * millisecond, 25 * second));
-  // A second notice moves nothing.
+  CHECK_FALSE(admission.may_accept(26 * second, 10 * millisecond, 25 * second));
+  // A second notice changes nothing.
   admission.begin(16 * second, 30 * second);
-  CHECK(admission.bounded(100 * second) < 17 * second);
+  CHECK(admission.limit_to_shutdown(100 * second) < 17 * second);
 }
 
 TEST_CASE("the longest duration of a route is remembered for a while") {
   route_durations durations;
-  CHECK_FALSE(durations.longest("a", second));
-  durations.note("a", 3 * second, 10 * second);
-  durations.note("a", second, 11 * second);
-  CHECK(durations.longest("a", 12 * second) == 3 * second);
-  CHECK(durations.longest("a", 45 * second) == 3 * second);
-  CHECK_FALSE(durations.longest("a", 200 * second));
-  CHECK_FALSE(durations.longest("b", 12 * second));
-  durations.keep_routes_of(routing::table{});
-  CHECK_FALSE(durations.longest("a", 12 * second));
+  CHECK_FALSE(durations.recent_max("a", second));
+  durations.record("a", 3 * second, 10 * second);
+  durations.record("a", second, 11 * second);
+  CHECK(durations.recent_max("a", 12 * second) == 3 * second);
+  CHECK(durations.recent_max("a", 45 * second) == 3 * second);
+  CHECK_FALSE(durations.recent_max("a", 200 * second));
+  CHECK_FALSE(durations.recent_max("b", 12 * second));
+  durations.retain_routes(routing::table{});
+  CHECK_FALSE(durations.recent_max("a", 12 * second));
 }
 
 namespace {
 
-// A router that is told to end while a request is under way; engines of capacity 1.
-struct ending_router : request_router_fixture {
-  explicit ending_router(std::uint64_t seed) : request_router_fixture(seed) {
+// A router that shuts down while a request is in flight; its engine has capacity 1.
+struct shutdown_fixture : request_router_fixture {
+  explicit shutdown_fixture(std::uint64_t seed) : request_router_fixture(seed) {
     engine("one", "apps");
     listed[0]["capacity"] = 1;
-    // Long enough to wait until the end.
+    // Long enough for requests to wait until the end of the shutdown.
     for (auto& route : table.routes) route.latency_target = route.deadline = 30000;
     begin();
   }
-  // Begins the shutdown after `pause`; what is under way is given up at its end.
-  void end_soon(runtime::microseconds pause, runtime::microseconds length) {
+  // Begins a shutdown of `length` after `pause`; requests in flight are aborted at its end.
+  void schedule_shutdown(runtime::microseconds pause, runtime::microseconds length) {
     auto runtime = stores.world.runtime_of("w");
     runtime.after(pause, [this, runtime, length] {
       node_router->begin_shutdown(runtime.now() + length);
       runtime.after(length, [this] { node_router->give_up_requests(); });
     });
   }
-  // Sends a request that its engine works on without an end.
+  // Sends a request that the engine never answers.
   void occupy_engine() {
     next["one"].push_back(behaviour{.silent = true});
-    runtime::http_request asked;
-    asked.method = "POST";
-    asked.path = "/write/first";
-    asked.headers = {{"host", "h.example"}, {"X-Attempt-Id", "first"}};
-    auto work = [](runtime::handle runtime, runtime::http_request asked) -> runtime::task<> {
-      co_await ask(runtime, std::move(asked));
+    runtime::http_request outgoing;
+    outgoing.method = "POST";
+    outgoing.path = "/write/first";
+    outgoing.headers = {{"host", "h.example"}, {"X-Attempt-Id", "first"}};
+    auto work = [](runtime::handle runtime, runtime::http_request outgoing) -> runtime::task<> {
+      co_await ask(runtime, std::move(outgoing));
     };
     auto runtime = stores.world.runtime_of("client");
-    runtime.spawn(work(runtime, std::move(asked)));
+    runtime.spawn(work(runtime, std::move(outgoing)));
     stores.world.run_for(100 * millisecond);
     REQUIRE(seen.size() == 1);
   }
@@ -95,40 +96,41 @@
 
 }  // namespace
 
-// Guards against review case 3 (LOST): a request that waits for an engine is cut, though nothing has run.
-TEST_CASE("a request that waits for an engine is answered 503 before its process ends") {
-  ending_router here(41);
-  here.occupy_engine();
-  auto begun = here.stores.world.now();
-  here.end_soon(100 * millisecond, second);
-  auto got = here.request("POST", "/write/second", "x");
-  CHECK(got.whole);
-  CHECK(got.status == 503);
-  CHECK(here.stores.world.now() - begun < 1100 * millisecond);
-  CHECK(here.seen.size() == 1);
+// Review case 3 (LOST): the connection of a request that waited for an engine was cut, though nothing had
+// run.
+TEST_CASE("a request that waits for an engine gets 503 before the process ends") {
+  shutdown_fixture fixture(41);
+  fixture.occupy_engine();
+  auto started_at = fixture.stores.world.now();
+  fixture.schedule_shutdown(100 * millisecond, second);
+  auto response = fixture.request("POST", "/write/second", "x");
+  CHECK(response.complete);
+  CHECK(response.status == 503);
+  CHECK(fixture.stores.world.now() - started_at < 1100 * millisecond);
+  CHECK(fixture.seen.size() == 1);
 }
 
-TEST_CASE("a request that an engine works on at the end of its process is answered 502") {
-  ending_router here(42);
-  here.next["one"] = {behaviour{.silent = true}};
-  here.end_soon(100 * millisecond, second);
-  auto got = here.request("POST", "/write/1", "x");
-  CHECK(got.whole);
-  CHECK(got.status == 502);
+TEST_CASE("a request that an engine is processing when the process ends gets 502") {
+  shutdown_fixture fixture(42);
+  fixture.next["one"] = {behaviour{.silent = true}};
+  fixture.schedule_shutdown(100 * millisecond, second);
+  auto response = fixture.request("POST", "/write/1", "x");
+  CHECK(response.complete);
+  CHECK(response.status == 502);
 }
 
-TEST_CASE("a request that comes during a shutdown and can't end in time reaches no engine") {
-  ending_router here(43);
-  here.node_router->begin_shutdown(here.stores.world.runtime_of("w").now() + 2 * second);
-  auto got = here.request("POST", "/write/1", "x");
-  CHECK(got.status == 503);
-  CHECK(here.seen.empty());
+TEST_CASE("a request that arrives during a shutdown and can't finish in time reaches no engine") {
+  shutdown_fixture fixture(43);
+  fixture.node_router->begin_shutdown(fixture.stores.world.runtime_of("w").now() + 2 * second);
+  auto response = fixture.request("POST", "/write/1", "x");
+  CHECK(response.status == 503);
+  CHECK(fixture.seen.empty());
 }
 
-TEST_CASE("a request that comes during a shutdown and can end in time is served") {
-  ending_router here(44);
-  here.node_router->begin_shutdown(here.stores.world.runtime_of("w").now() + 7 * second);
-  auto got = here.request("POST", "/write/1", "x");
-  INFO(got.body);
-  CHECK(got.status == 200);
+TEST_CASE("a request that arrives during a shutdown and can finish in time is served") {
+  shutdown_fixture fixture(44);
+  fixture.node_router->begin_shutdown(fixture.stores.world.runtime_of("w").now() + 7 * second);
+  auto response = fixture.request("POST", "/write/1", "x");
+  INFO(response.body);
+  CHECK(response.status == 200);
 }
