--- a/src/proxy/attempt_plan.cc
+++ b/src/proxy/attempt_plan.cc
@@ -5,147 +5,151 @@
 using runtime::millisecond;
 using runtime::second;
 
-std::vector<placement::engine> engines_of(const std::vector<engine::engine_state>& rows,
-                                          const std::string& kind, const std::string& partner,
-                                          const std::string& serves, const planning_context& context) {
+std::vector<placement::engine> placement_engines(const std::vector<engine::engine_state>& rows,
+                                                 const std::string& kind, const std::string& partner,
+                                                 const std::string& serves, const planning_context& context) {
   std::vector<placement::engine> engines;
   for (auto& row : rows) {
     if (row.kind != kind || row.partner != partner || row.serves != serves) continue;
-    placement::engine each;
-    each.number = row.number;
-    each.name = row.name;
-    each.zone = row.zone;
-    each.address = row.address;
-    each.weights = row.weights;
-    each.live = row.listed && row.healthy;
-    each.draining = row.draining_by_platform || row.draining_by_engine;
-    each.evacuated = context.config.evacuated_zones.contains(row.zone);
-    each.reported = row.queue + row.running;
-    each.queue = row.queue;
-    each.sent_since_report = row.sent_since_report;
-    each.in_flight = row.in_flight;
-    each.our_pulls_from = row.our_pulls_from;
-    each.our_pulls_into = row.our_pulls_into;
-    each.age_seconds = static_cast<double>(context.now - row.first_ready) / second;
-    engines.push_back(std::move(each));
+    placement::engine engine;
+    engine.number = row.number;
+    engine.name = row.name;
+    engine.zone = row.zone;
+    engine.address = row.address;
+    engine.weights = row.weights;
+    engine.live = row.listed && row.healthy;
+    engine.draining = row.draining_by_platform || row.draining_by_engine;
+    engine.evacuated = context.config.evacuated_zones.contains(row.zone);
+    engine.reported = row.queue + row.running;
+    engine.queue = row.queue;
+    engine.sent_since_report = row.sent_since_report;
+    engine.in_flight = row.in_flight;
+    engine.our_pulls_from = row.our_pulls_from;
+    engine.our_pulls_into = row.our_pulls_into;
+    engine.age_seconds = static_cast<double>(context.now - row.first_ready) / second;
+    engines.push_back(std::move(engine));
   }
   return engines;
 }
 
-static prefix::identity identity_of(const turn_subject& subject) {
+static prefix::identity identity_of(const turn_plan_input& input) {
   prefix::identity identity;
-  identity.partner = subject.partner;
-  identity.model = subject.model.name;
-  identity.weights = subject.model.weights;
-  identity.hash_seed = subject.model.hash_seed;
-  identity.block_tokens = subject.model.block_tokens;
-  identity.shared_tokens = subject.shared_tokens;
-  identity.program = subject.program;
+  identity.partner = input.partner;
+  identity.model = input.model.name;
+  identity.weights = input.model.weights;
+  identity.hash_seed = input.model.hash_seed;
+  identity.block_tokens = input.model.block_tokens;
+  identity.shared_tokens = input.shared_tokens;
+  identity.program = input.program;
   return identity;
 }
 
-// What both kinds of plans share: the caps are divided among the proxies.
-static void share_caps(placement::placement_request& asked, const planning_context& context) {
-  asked.proxies = context.ranks.proxies;
-  asked.rank = context.ranks.rank;
-  asked.proxies_before = context.ranks.previous_proxies;
-  asked.rank_before = context.ranks.previous_rank;
-  asked.avoid = context.avoid;
+// Sets the fields common to turns and calls: this proxy's share of the engines' caps, and engines to avoid.
+static void set_common_fields(placement::placement_request& request, const planning_context& context) {
+  request.proxies = context.ranks.proxies;
+  request.rank = context.ranks.rank;
+  request.proxies_before = context.ranks.previous_proxies;
+  request.rank_before = context.ranks.previous_rank;
+  request.avoid = context.avoid;
 }
 
-static placement::placement_request question_of(const turn_subject& subject,
-                                                const planning_context& context) {
-  placement::placement_request asked;
-  asked.weights = subject.model.weights;
-  asked.block_tokens = subject.model.block_tokens;
-  asked.prompt_tokens = subject.prompt.size();
-  asked.near_tie_tokens = subject.model.near_tie_tokens;
-  asked.max_concurrent = subject.model.turns_per_engine;
-  asked.slow_start_concurrent = subject.model.cold_turns;
-  asked.max_pulls_per_source = subject.model.max_pulls_per_source;
-  asked.max_pulls_per_destination = subject.model.max_pulls_per_destination;
-  asked.warm_seconds = subject.model.warm_seconds;
-  share_caps(asked, context);
-  asked.table = context.config.partners.at(subject.partner).table_of(subject.settings.table);
-  // A sharing table's lead goes before the model's own.
-  asked.min_cached_token_delta = subject.model.min_cached_token_delta;
-  auto own = asked.table.min_cached_token_delta.find(subject.model.name);
-  if (own != asked.table.min_cached_token_delta.end()) asked.min_cached_token_delta = own->second;
-  return asked;
+static placement::placement_request placement_request_for(const turn_plan_input& input,
+                                                          const planning_context& context) {
+  placement::placement_request request;
+  request.weights = input.model.weights;
+  request.block_tokens = input.model.block_tokens;
+  request.prompt_tokens = input.prompt.size();
+  request.near_tie_tokens = input.model.near_tie_tokens;
+  request.max_concurrent = input.model.turns_per_engine;
+  request.slow_start_concurrent = input.model.cold_turns;
+  request.max_pulls_per_source = input.model.max_pulls_per_source;
+  request.max_pulls_per_destination = input.model.max_pulls_per_destination;
+  request.warm_seconds = input.model.warm_seconds;
+  set_common_fields(request, context);
+  request.table = context.config.partners.at(input.partner).table_of(input.settings.table);
+  // A minimum in the sharing table takes precedence over the model's own.
+  request.min_cached_token_delta = input.model.min_cached_token_delta;
+  auto table_delta = request.table.min_cached_token_delta.find(input.model.name);
+  if (table_delta != request.table.min_cached_token_delta.end())
+    request.min_cached_token_delta = table_delta->second;
+  return request;
 }
 
-// Names the source of a pull: `source_blocks` is what it is believed to hold.
-static void name_source(turn_plan& plan, const placement::engine& source, std::size_t source_blocks,
-                        double pull_seconds) {
+// Makes the plan pull from `source`, which is believed to hold the first `source_blocks` blocks of the
+// prompt.
+static void set_source(turn_plan& plan, const placement::engine& source, std::size_t source_blocks,
+                       double pull_seconds) {
   plan.source = source.number;
   plan.expected_blocks = source_blocks - std::min(source_blocks, plan.destination_blocks);
-  plan.order.source = source.address;
-  // Only what the destination lacks is asked for.
+  plan.request.source = source.address;
+  // Request only the blocks that the destination lacks.
   for (std::size_t position = plan.destination_blocks; position < source_blocks; ++position)
-    plan.order.source_blocks.push_back(plan.hashes[position]);
-  // Counted from the turn's arrival at its destination, and never longer than a lender that begins to leave
-  // may still be asked for: 3 s less the age that our knowledge may have.
-  plan.order.pull_milliseconds =
+    plan.request.source_blocks.push_back(plan.hashes[position]);
+  // The destination counts this time from the turn's arrival. A source that starts draining may be asked for
+  // 3 s; the bound is below that by the maximum age of this proxy's knowledge.
+  plan.request.pull_milliseconds =
       std::min<std::int64_t>(max_pull_milliseconds, static_cast<std::int64_t>(pull_seconds * 1000));
 }
 
-std::variant<turn_plan, unplanned> plan_turn(const turn_subject& subject, const planning_context& context,
-                                             const std::vector<engine::engine_state>& rows,
-                                             const prefix::index& held, std::mt19937_64& random) {
+std::variant<turn_plan, plan_failure> plan_turn(const turn_plan_input& input, const planning_context& context,
+                                                const std::vector<engine::engine_state>& rows,
+                                                const prefix::index& prefixes, std::mt19937_64& random) {
   turn_plan plan;
-  auto identity = identity_of(subject);
-  plan.hashes = prefix::block_hashes(identity, subject.prompt);
-  auto engines = engines_of(rows, "model", subject.partner, subject.model.name, context);
-  for (auto& each : engines) {
-    each.cached_blocks = held.leading(each.number, plan.hashes, context.now);
-    each.belief = held.belief(each.number);
+  auto identity = identity_of(input);
+  plan.hashes = prefix::block_hashes(identity, input.prompt);
+  auto engines = placement_engines(rows, "model", input.partner, input.model.name, context);
+  for (auto& engine : engines) {
+    engine.cached_blocks = prefixes.leading(engine.number, plan.hashes, context.now);
+    engine.belief = prefixes.belief(engine.number);
   }
-  auto asked = question_of(subject, context);
-  auto made = placement::place(asked, engines, random);
-  if (!made) return placement::could_serve(asked, engines) ? unplanned::busy : unplanned::hopeless;
-  const auto& destination = engines[made->destination];
+  auto request = placement_request_for(input, context);
+  auto choice = placement::place(request, engines, random);
+  if (!choice)
+    return placement::could_serve(request, engines) ? plan_failure::no_capacity
+                                                    : plan_failure::no_usable_engine;
+  const auto& destination = engines[choice->destination];
   plan.config_revision = context.config.revision;
   plan.attempt = context.attempt;
   plan.destination = destination.number;
   plan.destination_name = destination.name;
   plan.destination_blocks = destination.cached_blocks;
-  plan.deadline = subject.deadline;
-  plan.lease_end = subject.lease_end;
-  plan.order.address = destination.address;
-  plan.order.model = subject.model.name;
-  plan.order.request_id = subject.request_id;
-  plan.order.prompt = subject.prompt;
-  plan.order.most_tokens = subject.most_tokens;
-  plan.order.identity = identity;
-  if (made->source)
-    name_source(plan, engines[*made->source], made->source_blocks, subject.model.pull_seconds);
+  plan.deadline = input.deadline;
+  plan.lease_end = input.lease_end;
+  plan.request.address = destination.address;
+  plan.request.model = input.model.name;
+  plan.request.request_id = input.request_id;
+  plan.request.prompt = input.prompt;
+  plan.request.most_tokens = input.max_tokens;
+  plan.request.identity = identity;
+  if (choice->source)
+    set_source(plan, engines[*choice->source], choice->source_blocks, input.model.pull_seconds);
   return plan;
 }
 
-std::optional<call_plan> plan_call(const call_subject& subject, const planning_context& context,
+std::optional<call_plan> plan_call(const call_plan_input& input, const planning_context& context,
                                    const std::vector<engine::engine_state>& rows, std::mt19937_64& random) {
-  auto engines = engines_of(rows, "application", subject.partner, subject.route.application, context);
-  placement::placement_request asked;
-  asked.max_concurrent = subject.application.calls_per_engine;
-  asked.warm_seconds = subject.application.warm_seconds;
-  share_caps(asked, context);
-  asked.table = context.config.partners.at(subject.partner).table_of(subject.route.table);
-  auto made = placement::place(asked, engines, random);
-  if (!made) return std::nullopt;
-  const auto& destination = engines[made->destination];
+  auto engines = placement_engines(rows, "application", input.partner, input.route.application, context);
+  placement::placement_request request;
+  request.max_concurrent = input.application.calls_per_engine;
+  request.warm_seconds = input.application.warm_seconds;
+  set_common_fields(request, context);
+  request.table = context.config.partners.at(input.partner).table_of(input.route.table);
+  auto choice = placement::place(request, engines, random);
+  if (!choice) return std::nullopt;
+  const auto& destination = engines[choice->destination];
   call_plan plan;
   plan.config_revision = context.config.revision;
   plan.attempt = context.attempt;
   plan.destination = destination.number;
   plan.destination_name = destination.name;
   plan.address = destination.address;
-  plan.deadline = subject.deadline;
+  plan.deadline = input.deadline;
   plan.request.method = "POST";
-  plan.request.path = subject.route.path;
-  plan.request.body = subject.body;
-  plan.request.headers["Content-Type"] = subject.content_type;
-  plan.request.headers["X-Request-Id"] = subject.request_id;
-  if (!subject.key.empty()) plan.request.headers["Idempotency-Key"] = subject.key;
+  plan.request.path = input.route.path;
+  plan.request.body = input.body;
+  plan.request.headers["Content-Type"] = input.content_type;
+  plan.request.headers["X-Request-Id"] = input.request_id;
+  if (!input.key.empty()) plan.request.headers["Idempotency-Key"] = input.key;
   return plan;
 }
 
--- a/src/proxy/context.cc
+++ b/src/proxy/context.cc
@@ -29,9 +29,9 @@
 context::context(runtime::handle handle, settings::settings given, logging::logger given_logger,
                  platform_options options)
     : runtime(handle),
-      place(std::move(given)),
+      node_settings(std::move(given)),
       logger(given_logger),
-      endpoint(handle, place.name, given_logger),
+      endpoint(handle, node_settings.name, given_logger),
       stores(endpoint, "store"),
       conversations(stores,
                     [this](const std::string& owner, std::int64_t owner_incarnation) {
@@ -43,12 +43,13 @@
       trace(handle),
       capacity(handle),
       incarnation(handle.wall()) {
-  if (place.speaks > 0) endpoint.set_version(place.speaks);
+  if (node_settings.speaks > 0) endpoint.set_version(node_settings.speaks);
 }
 
 bool context::is_fresh() const {
   if (broken("freshness")) return config.has_value();
-  return config && fresh_at >= 0 && runtime.now() - fresh_at <= config_distribution::max_config_age;
+  return config && config_fresh_at >= 0 &&
+         runtime.now() - config_fresh_at <= config_distribution::max_config_age;
 }
 
 bool context::has_ended(const std::string& owner, std::int64_t proxy_incarnation) const {
@@ -59,7 +60,7 @@
          (member.incarnation == proxy_incarnation && !member.is_live());
 }
 
-planning_context context::planning(std::vector<interning::symbol> avoid, int attempt) const {
+planning_context context::make_planning_context(std::vector<interning::symbol> avoid, int attempt) const {
   return {*config, ranks, runtime.now(), std::move(avoid), attempt};
 }
 
@@ -67,18 +68,20 @@
   logger.count("herontally_rejections_total{reason=\"" + reason + "\"}");
 }
 
-int context::retry_after(std::int64_t least) const {
-  constexpr std::int64_t longest = 30;
-  // The more that wait, the wider apart: what a second can serve is about what waits for a second.
-  auto crowd = static_cast<std::uint64_t>(capacity.size() * 4 / std::max<std::int64_t>(1, place.queue));
-  auto spread = static_cast<std::uint64_t>(least) + 1 + crowd;
-  auto drawn = static_cast<std::int64_t>(runtime.draw(spread));
-  return static_cast<int>(std::min(longest, least + drawn));
+int context::retry_after(std::int64_t min_seconds) const {
+  constexpr std::int64_t max_seconds = 30;
+  // The random range grows with the queue, by 4 s for a full one: the engines serve in a second about as many
+  // requests as wait for a second.
+  auto queue_share =
+      static_cast<std::uint64_t>(capacity.size() * 4 / std::max<std::int64_t>(1, node_settings.queue));
+  auto range = static_cast<std::uint64_t>(min_seconds) + 1 + queue_share;
+  auto offset = static_cast<std::int64_t>(runtime.draw(range));
+  return static_cast<int>(std::min(max_seconds, min_seconds + offset));
 }
 
 std::optional<in_flight_guard> context::admit(const std::string& peer, const http_api::writer& out) {
   std::string client = peer.substr(0, peer.rfind(':'));
-  bool node_limit = requests_in_flight >= place.requests;
+  bool node_limit = requests_in_flight >= node_settings.requests;
   if (node_limit || requests_by_client[client] >= config->limit.requests_per_client) {
     count_rejection(node_limit ? "request limit" : "client limit");
     http_api::reject(out, 429, node_limit ? "too many requests" : "too many requests of this client",
@@ -95,17 +98,18 @@
   });
 }
 
-task<> context::linger(in_flight_guard taken, interning::symbol engine) {
-  // The word that a request is given up may come in behind the next request, and may be lost with the
-  // channel.
+task<> context::hold_until_reported(in_flight_guard guard, interning::symbol engine) {
+  // The engine may learn that a request was abandoned only after the next request has arrived, or, if the
+  // connection is lost, not at all. So the report must be requested some time after the abandonment, and the
+  // wait is bounded.
   constexpr microseconds message_time = 100 * millisecond;
-  constexpr microseconds longest = 2 * second;
+  constexpr microseconds max_wait = 2 * second;
   auto self = shared_from_this();
-  auto begun = self->runtime.now();
-  while (self->engines.row(engine).report_requested_at < begun + message_time &&
-         self->runtime.now() < begun + longest)
+  auto started_at = self->runtime.now();
+  while (self->engines.row(engine).report_requested_at < started_at + message_time &&
+         self->runtime.now() < started_at + max_wait)
     co_await self->runtime.sleep(50 * millisecond);
-  taken = in_flight_guard();
+  guard = in_flight_guard();
 }
 
 }  // namespace herontally::proxy
--- a/src/proxy/node.cc
+++ b/src/proxy/node.cc
@@ -10,7 +10,7 @@
 
 using http_api::reject;
 
-// What a request of the product's own interface asks for.
+// The resource that a request in the product's own protocol addresses.
 struct target {
   enum class kind { none, turn, call, program_page };
   kind what = kind::none;
@@ -29,12 +29,12 @@
   return found;
 }
 
-// The node's parts, wired together; each header tells what a part is for and which state it owns.
+// The node's components.
 struct node::state : std::enable_shared_from_this<node::state> {
   std::shared_ptr<context> shared;
   std::shared_ptr<turn_handler> turns;
   std::shared_ptr<call_handler> calls;
-  std::shared_ptr<platform_ingress> ingress;  // nullptr: no adapter
+  std::shared_ptr<platform_ingress> ingress;  // nullptr: without a platform adapter
   std::shared_ptr<config_follower> follower;
 
   explicit state(std::shared_ptr<context> made)
@@ -44,36 +44,37 @@
         ingress(made->platform.adapter ? std::make_shared<platform_ingress>(made) : nullptr),
         follower(std::make_shared<config_follower>(
             made, [ingress = ingress](const rpc::config_update_reply& reply, update_changes changed) {
-              if (ingress) ingress->take_update(reply, changed);
+              if (ingress) ingress->apply_update(reply, changed);
             })) {}
 
   void watch_engines();
-  // The last line of a process that ends on notice: how many requests it has read and not answered.
-  void log_end(const std::string& address) const;
+  // Writes the last log line of a graceful shutdown: how many requests were read at `address` but not
+  // answered.
+  void log_shutdown(const std::string& address) const;
   void set_seeds();
-  // False: the request was answered.
-  bool admit(const target& wanted, const http_api::writer& out);
+  // False: the request was rejected.
+  bool admit(const target& requested, const http_api::writer& out);
   task<> serve(runtime::inbound_request request, http_api::writer out);
 };
 
-node::node(runtime::handle runtime, settings::settings place, logging::logger logger,
+node::node(runtime::handle runtime, settings::settings node_settings, logging::logger logger,
            platform_options platform)
-    : state_(std::make_shared<state>(std::make_shared<context>(std::move(runtime), std::move(place),
+    : state_(std::make_shared<state>(std::make_shared<context>(std::move(runtime), std::move(node_settings),
                                                                std::move(logger), std::move(platform)))) {}
 node::~node() = default;
 
 void node::state::set_seeds() {
   shared->stores.set_seeds([weak = std::weak_ptr<context>(shared)] {
     std::vector<std::string> addresses;
-    auto here = weak.lock();
-    if (!here) return addresses;
-    for (auto& [name, member] : here->members)
+    auto locked = weak.lock();
+    if (!locked) return addresses;
+    for (auto& [name, member] : locked->members)
       if (member.role == rpc::node_role::store && member.is_live()) addresses.push_back(member.inner);
     return addresses;
   });
 }
 
-void node::state::log_end(const std::string& address) const {
+void node::state::log_shutdown(const std::string& address) const {
   auto unanswered = shared->runtime.http_connections(address).unanswered;
   shared->logger.info("ended on notice", {{"unanswered", unanswered}});
 }
@@ -81,11 +82,11 @@
 void node::state::watch_engines() {
   std::weak_ptr<context> weak = shared;
   shared->engines.on_reset([weak](const engine::engine_state& row) {
-    // Whatever it held, nothing is believed of it now.
-    if (auto here = weak.lock()) here->prefixes.forget(row.number);
+    // Its cache can no longer be relied upon.
+    if (auto locked = weak.lock()) locked->prefixes.forget(row.number);
   });
   shared->engines.on_report([weak] {
-    if (auto here = weak.lock()) here->capacity.notify_all();
+    if (auto locked = weak.lock()) locked->capacity.notify_all();
   });
 }
 
@@ -95,24 +96,24 @@
   self->set_seeds();
   self->watch_engines();
   if (self->ingress) {
-    auto fault = self->ingress->open();
-    if (fault) co_return fault;
+    auto error = self->ingress->start();
+    if (error) co_return error;
   } else {
     shared->engines.start();
   }
   shared->runtime.spawn(self->follower->run());
-  if (!shared->endpoint.listen(shared->place.inner))
-    co_return "inner can't be listened on: " + shared->place.inner;
+  if (!shared->endpoint.listen(shared->node_settings.inner))
+    co_return "inner can't be listened on: " + shared->node_settings.inner;
   shared->trace.serve(shared->endpoint, rpc::node_role::proxy);
   auto serve = [weak = std::weak_ptr<state>(self)](runtime::inbound_request request, http_api::writer out) {
-    auto here = weak.lock();
-    if (!here) return;
-    auto& shared = *here->shared;
-    shared.runtime.spawn(http_api::serve_guarded(here->serve(std::move(request), out), out, shared.logger));
+    auto locked = weak.lock();
+    if (!locked) return;
+    auto& shared = *locked->shared;
+    shared.runtime.spawn(http_api::serve_guarded(locked->serve(std::move(request), out), out, shared.logger));
   };
-  if (!shared->runtime.http_serve(shared->place.http, serve))
-    co_return "http can't be listened on: " + shared->place.http;
-  shared->logger.info("started", {{"agent", shared->place.agent}});
+  if (!shared->runtime.http_serve(shared->node_settings.http, serve))
+    co_return "http can't be listened on: " + shared->node_settings.http;
+  shared->logger.info("started", {{"agent", shared->node_settings.agent}});
   co_return std::nullopt;
 }
 
@@ -122,39 +123,40 @@
   constexpr microseconds poll_period = 50 * millisecond;
   auto self = state_;
   auto shared = self->shared;
-  shared->leaving = true;
+  shared->shutting_down = true;
   if (self->ingress) {
     co_await self->ingress->drain();
-    self->log_end(shared->place.ingress);
+    self->log_shutdown(shared->node_settings.ingress);
     co_return;
   }
-  auto until =
-      shared->runtime.now() + (shared->place.notice_milliseconds - reserve_milliseconds) * millisecond;
-  // Who waits already waits no longer than that.
-  shared->ends_at = until - answer_time;
+  auto until = shared->runtime.now() +
+               (shared->node_settings.notice_milliseconds - reserve_milliseconds) * millisecond;
+  // Ends the wait of requests that are already queued.
+  shared->queue_deadline = until - answer_time;
   shared->capacity.notify_all();
-  std::vector<std::string> addresses{shared->place.http};
+  std::vector<std::string> addresses{shared->node_settings.http};
   co_await runtime::drain_connections(shared->runtime, std::move(addresses), until, until);
-  // What was answered may still have to be settled in the ledger.
+  // Turns that were answered may still have to be settled in the ledger.
   while (shared->requests_in_flight > 0 && shared->runtime.now() < until)
     co_await shared->runtime.sleep(poll_period);
-  self->log_end(shared->place.http);
+  self->log_shutdown(shared->node_settings.http);
 }
 
-bool node::state::admit(const target& wanted, const http_api::writer& out) {
-  if (wanted.what == target::kind::none) {
+bool node::state::admit(const target& requested, const http_api::writer& out) {
+  if (requested.what == target::kind::none) {
     reject(out, 404, "no such page", executed::no);
     return false;
   }
-  // A change may have passed us by: better no request than one under a configuration that is no longer in
-  // force.
-  if (!shared->is_fresh() || shared->leaving) {
-    shared->count_rejection(shared->leaving ? "leaving" : "outdated");
-    reject(out, 503, shared->leaving ? "this door is closing" : "the desired state may be outdated here",
+  // A change may have been missed: requests are rejected rather than served under a configuration that may no
+  // longer be in force.
+  if (!shared->is_fresh() || shared->shutting_down) {
+    shared->count_rejection(shared->shutting_down ? "leaving" : "outdated");
+    reject(out, 503,
+           shared->shutting_down ? "this door is closing" : "the desired state may be outdated here",
            executed::no, shared->retry_after(1));
     return false;
   }
-  if (!shared->config->partners.contains(wanted.partner)) {
+  if (!shared->config->partners.contains(requested.partner)) {
     reject(out, 404, "no such partner", executed::no);
     return false;
   }
@@ -166,21 +168,22 @@
   auto context = self->shared;
   context->logger.gauge("herontally_requests", static_cast<double>(context->requests_in_flight));
   context->logger.gauge("herontally_queue", static_cast<double>(context->capacity.size()));
-  // A proxy whose zone is evacuated serves who still comes, and asks the platform to send others elsewhere.
-  bool evacuated = context->config && context->config->evacuated_zones.contains(context->place.zone);
-  bool ready = context->is_fresh() && !context->leaving && !evacuated;
+  // In an evacuated zone the proxy still serves requests but reports not ready, so that the platform sends
+  // clients elsewhere.
+  bool evacuated = context->config && context->config->evacuated_zones.contains(context->node_settings.zone);
+  bool ready = context->is_fresh() && !context->shutting_down && !evacuated;
   auto revision = context->config ? context->config->revision : 0;
   if (http_api::common_pages(request, out, context->logger, ready, {{"revision", revision}})) co_return;
-  auto wanted = target_of(request);
-  if (!self->admit(wanted, out)) co_return;
+  auto requested = target_of(request);
+  if (!self->admit(requested, out)) co_return;
   auto admitted = context->admit(request.peer, out);
   if (!admitted) co_return;
-  if (wanted.what == target::kind::turn)
-    co_await self->turns->serve(std::move(request), out, wanted.partner, wanted.name);
-  else if (wanted.what == target::kind::call)
-    co_await self->calls->serve(std::move(request), out, wanted.partner, wanted.name);
+  if (requested.what == target::kind::turn)
+    co_await self->turns->serve(std::move(request), out, requested.partner, requested.name);
+  else if (requested.what == target::kind::call)
+    co_await self->calls->serve(std::move(request), out, requested.partner, requested.name);
   else
-    co_await serve_program_page(context, out, wanted.partner, wanted.name);
+    co_await serve_program_page(context, out, requested.partner, requested.name);
 }
 
 }  // namespace herontally::proxy
--- a/src/proxy/node.h
+++ b/src/proxy/node.h
@@ -1,5 +1,5 @@
-// The proxy: takes clients' turns and calls on an edge machine, asks the ledger, plans, and forwards them to
-// engines.
+// The proxy node: accepts clients' turns and calls on an edge machine, reserves or records them in the
+// ledger, chooses an engine for each, and forwards them.
 #pragma once
 #include "logging/logging.h"
 #include "platform_protocol/adapter.h"
@@ -8,21 +8,23 @@
 
 namespace herontally::proxy {
 
-// How requests are taken where an adapter translates the platform's protocol.
+// Options for serving the users' platform through an adapter.
 struct platform_options {
   std::shared_ptr<const platform_protocol::adapter> adapter;  // nullptr: the product's own protocol
-  // A lead in cached tokens from which a source is named; nothing: no source is.
+  // Minimum lead in cached tokens, over the destination, at which another engine is named as the source of a
+  // KV cache pull; empty: no source is named.
   std::optional<std::int64_t> min_cached_token_delta;
 };
 
 class node {
  public:
-  node(runtime::handle runtime, settings::settings place, logging::logger logger,
+  node(runtime::handle runtime, settings::settings node_settings, logging::logger logger,
        platform_options platform = {});
   ~node();
-  // Begins to serve; the result tells what stands in the way, if anything.
+  // Starts serving. Returns an error message if an address can't be listened on, otherwise nullopt.
   runtime::task<std::optional<std::string>> start();
-  // Graceful shutdown: no new requests; those in flight end within the notice.
+  // Graceful shutdown: rejects new requests and lets those in flight finish within the notice period of the
+  // settings.
   runtime::task<> leave();
 
  private:
--- a/src/proxy/platform_ingress.h
+++ b/src/proxy/platform_ingress.h
@@ -1,5 +1,5 @@
-// Internal to the proxy: its side towards the users' platform, where an adapter translates: clients' requests
-// by the routing table, and readiness.
+// Internal to the proxy: the listeners for the users' platform, whose protocol an adapter translates. Passes
+// clients' requests to the request router, answers readiness probes, and drains connections at shutdown.
 #pragma once
 #include "proxy/config_follower.h"
 #include "router/request_router.h"
@@ -9,18 +9,20 @@
 class platform_ingress : public std::enable_shared_from_this<platform_ingress> {
  public:
   explicit platform_ingress(std::shared_ptr<context> shared);
-  // Listens at the addresses that the settings name; the result tells what stands in the way, if anything.
-  std::optional<std::string> open();
-  // Hands an update from the agent to the router.
-  void take_update(const rpc::config_update_reply& reply, update_changes changed);
-  // Ends once nothing has been in flight for a moment: clients that still hold a connection may send another
-  // request on it, which is served then and marked as the last.
+  // Listens on the ingress and readiness addresses of the settings. Returns an error message if one of them
+  // can't be listened on, otherwise nullopt.
+  std::optional<std::string> start();
+  // Passes an update from the agent on to the router and the quotas. Called by config_follower.
+  void apply_update(const rpc::config_update_reply& reply, update_changes changed);
+  // Stops accepting work and completes once no request has been in flight and no connection open for a short
+  // while, or shortly before the notice period ends. A client with an open connection may send one more
+  // request on it, which is served and marked as the last.
   task<> drain();
 
  private:
   bool is_ready() const;
-  task<> wait_until_calm(microseconds until);
-  // Tells the quotas and the router which proxies there are.
+  task<> wait_until_idle(microseconds until);
+  // Passes the live proxies, and this proxy's rank among the listed ones, to the quotas and the router.
   void update_nodes();
 
   std::shared_ptr<context> context_;
--- a/src/proxy/program_page.cc
+++ b/src/proxy/program_page.cc
@@ -11,23 +11,23 @@
     co_return;
   }
   auto budget = settings->budget_tokens;
-  auto now = co_await shared->conversations.read(partner, program, shared->runtime.now() + ledger_timeout);
-  if (!now) {
+  auto record = co_await shared->conversations.read(partner, program, shared->runtime.now() + ledger_timeout);
+  if (!record) {
     http_api::reject(out, 503, "the ledger can't be reached by a majority", executed::no, 1);
     co_return;
   }
   json endings = json::array();
-  for (auto& each : now->endings)
-    endings.push_back({{"turn", each.turn}, {"how", each.outcome}, {"tokens", each.tokens}});
+  for (auto& turn : record->endings)
+    endings.push_back({{"turn", turn.turn}, {"how", turn.outcome}, {"tokens", turn.tokens}});
   http_api::reply_json(out, 200,
                        {{"partner", partner},
                         {"program", program},
                         {"budget_tokens", budget},
-                        {"spent_tokens", now->spent},
-                        {"turns", now->length},
-                        {"digest", now->digest},
-                        {"keep_until_us", now->keep_until},
-                        {"turn_open", !now->open.empty()},
+                        {"spent_tokens", record->spent},
+                        {"turns", record->length},
+                        {"digest", record->digest},
+                        {"keep_until_us", record->keep_until},
+                        {"turn_open", !record->open.empty()},
                         {"endings", endings}});
 }
 
--- a/src/proxy/turn_attempt.cc
+++ b/src/proxy/turn_attempt.cc
@@ -8,15 +8,16 @@
 
 namespace {
 
-// How often an attempt looks up while its engine says nothing.
+// How often the end conditions are checked while the engine sends nothing.
 constexpr microseconds poll_period = 400 * millisecond;
+// How long an attempt waits for data from its engine.
 constexpr microseconds max_silence = 10 * second;
-// An engine that doesn't answer its reports either is given up sooner.
-constexpr microseconds max_silence_unreported = 2 * second;
+// The limit for an engine whose load reports fail as well.
+constexpr microseconds max_silence_unhealthy = 2 * second;
 
 }  // namespace
 
-in_flight_guard turn_attempt::occupy_engines() {
+in_flight_guard turn_attempt::count_in_flight() {
   auto destination = plan_.destination;
   auto source = plan_.source;
   auto& row = context_->engines.row(destination);
@@ -38,26 +39,27 @@
   });
 }
 
-std::optional<attempt_outcome> turn_attempt::ended_from_outside() const {
+std::optional<attempt_outcome> turn_attempt::end_condition() const {
   auto now = context_->runtime.now();
-  // A proxy that was frozen past its lease may have been superseded: it passes nothing on any more.
+  // A proxy that was suspended past its lease may have been superseded by another one and must not send more
+  // output.
   if (now >= plan_.lease_end) return attempt_outcome::lease_over;
   if (now >= plan_.deadline) return attempt_outcome::failed;
   if (turn_.out->closed()) return attempt_outcome::client_gone;
   return std::nullopt;
 }
 
-attempt_outcome turn_attempt::give_up(attempt_outcome how) {
-  context_->runtime.spawn(context_->linger(std::move(occupied_), plan_.destination));
-  return how;
+attempt_outcome turn_attempt::abandon(attempt_outcome outcome) {
+  context_->runtime.spawn(context_->hold_until_reported(std::move(in_flight_), plan_.destination));
+  return outcome;
 }
 
-std::optional<attempt_outcome> turn_attempt::take_piece(engine::completion_chunk& next) {
+std::optional<attempt_outcome> turn_attempt::handle_chunk(engine::completion_chunk& next) {
   auto& progress = *progress_;
   auto& shared = *context_;
-  heard_ = shared.runtime.now();
-  // The reservation bounds what is put out, whatever the engine sends.
-  auto left = static_cast<std::size_t>(turn_.most_tokens) - progress.tokens.size();
+  last_chunk_at_ = shared.runtime.now();
+  // Output is limited to the reserved tokens, whatever the engine sends.
+  auto left = static_cast<std::size_t>(turn_.max_tokens) - progress.tokens.size();
   if (next.tokens.size() > left) next.tokens.resize(left);
   if (next.tokens.empty()) return std::nullopt;
   output_.insert(output_.end(), next.tokens.begin(), next.tokens.end());
@@ -71,31 +73,31 @@
   return attempt_outcome::too_slow;
 }
 
-void turn_attempt::correct_prefixes(const engine::completion_summary& last) {
+void turn_attempt::correct_prefix_index(const engine::completion_summary& last) {
   auto& prefixes = context_->prefixes;
   if (plan_.source) {
     auto found = static_cast<std::size_t>(std::max<std::int64_t>(0, last.blocks_found));
-    // A lender that broke off proved nothing about what it holds; one that answered did.
+    // A failed pull says nothing about which blocks the source holds; a completed one does.
     if (!last.pull_failed)
-      prefixes.correct(*plan_.source, plan_.order.source_blocks, found, plan_.order.source_blocks.size());
+      prefixes.correct(*plan_.source, plan_.request.source_blocks, found, plan_.request.source_blocks.size());
     else
       prefixes.correct(*plan_.source, {}, 0, 1);
   }
-  auto block_tokens = std::max<std::int64_t>(1, plan_.order.identity.block_tokens);
+  auto block_tokens = std::max<std::int64_t>(1, plan_.request.identity.block_tokens);
   auto cached = static_cast<std::size_t>(last.cached_tokens / block_tokens);
   auto expected = plan_.destination_blocks;
   if (expected > 0) prefixes.correct(plan_.destination, {}, std::min(cached, expected), expected);
 }
 
-void turn_attempt::take_summary(const engine::completion_summary& last) {
+void turn_attempt::handle_summary(const engine::completion_summary& last) {
   auto& shared = *context_;
   auto now = shared.runtime.now();
-  constexpr double weight_of_new = 0.1;
-  double took = static_cast<double>(now - begun_) / second;
-  shared.turn_seconds = (1 - weight_of_new) * shared.turn_seconds + weight_of_new * took;
-  auto whole = plan_.order.prompt;
-  whole.insert(whole.end(), output_.begin(), output_.end());
-  shared.prefixes.note(plan_.destination, prefix::block_hashes(plan_.order.identity, whole), now);
+  constexpr double new_sample_weight = 0.1;
+  double duration = static_cast<double>(now - started_at_) / second;
+  shared.turn_seconds = (1 - new_sample_weight) * shared.turn_seconds + new_sample_weight * duration;
+  auto tokens = plan_.request.prompt;
+  tokens.insert(tokens.end(), output_.begin(), output_.end());
+  shared.prefixes.note(plan_.destination, prefix::block_hashes(plan_.request.identity, tokens), now);
   auto& logger = shared.logger;
   logger.count("herontally_prompt_tokens_total", static_cast<double>(last.prompt_tokens));
   logger.count("herontally_cached_tokens_total", static_cast<double>(last.cached_tokens));
@@ -106,10 +108,10 @@
                  static_cast<double>(last.blocks_asked - last.blocks_found));
     if (last.pull_failed) logger.count("herontally_pull_fallbacks_total");
   }
-  correct_prefixes(last);
+  correct_prefix_index(last);
 }
 
-void turn_attempt::note_failure(const engine::completion_failure& failed) {
+void turn_attempt::handle_failure(const engine::completion_failure& failed) {
   auto& shared = *context_;
   shared.logger.warn(
       "attempt failed",
@@ -118,47 +120,47 @@
   shared.prefixes.forget(plan_.destination);
   bool not_sent = !failed.ran && failed.status == 0;
   if (!not_sent) return;
-  // Not one byte reached it, so that no engine has heard of this attempt.
-  progress_->engine_heard = engine_heard_before_;
+  // Nothing was sent, so this attempt has reached no engine.
+  progress_->may_have_reached_engine = may_have_reached_engine_before_;
   shared.engines.failed(plan_.destination);
 }
 
-bool turn_attempt::is_silent() const {
-  auto silence = context_->runtime.now() - heard_;
-  bool reports = context_->engines.row(plan_.destination).healthy;
-  return silence > max_silence || (silence > max_silence_unreported && !reports);
+bool turn_attempt::is_unresponsive() const {
+  auto silence = context_->runtime.now() - last_chunk_at_;
+  bool healthy = context_->engines.row(plan_.destination).healthy;
+  return silence > max_silence || (silence > max_silence_unhealthy && !healthy);
 }
 
 task<attempt_outcome> turn_attempt::run() {
   auto self = shared_from_this();
   auto shared = self->context_;
-  self->begun_ = self->heard_ = shared->runtime.now();
-  self->occupied_ = self->occupy_engines();
+  self->started_at_ = self->last_chunk_at_ = shared->runtime.now();
+  self->in_flight_ = self->count_in_flight();
   shared->logger.count("herontally_placements_total");
   if (self->plan_.source) shared->logger.count("herontally_pulls_named_total");
   shared->prefixes.note(self->plan_.destination, self->plan_.hashes, shared->runtime.now());
-  self->engine_heard_before_ = std::exchange(self->progress_->engine_heard, true);
-  engine::completion stream(shared->runtime, self->plan_.order);
+  self->may_have_reached_engine_before_ = std::exchange(self->progress_->may_have_reached_engine, true);
+  engine::completion stream(shared->runtime, self->plan_.request);
   while (true) {
     auto event = co_await stream.next(poll_period);
-    if (auto ended = self->ended_from_outside()) co_return self->give_up(*ended);
+    if (auto ended = self->end_condition()) co_return self->abandon(*ended);
     if (auto* next = std::get_if<engine::completion_chunk>(&event)) {
-      if (auto ended = self->take_piece(*next)) co_return self->give_up(*ended);
+      if (auto ended = self->handle_chunk(*next)) co_return self->abandon(*ended);
     } else if (auto* last = std::get_if<engine::completion_summary>(&event)) {
-      self->take_summary(*last);
-      self->occupied_ = in_flight_guard();
+      self->handle_summary(*last);
+      self->in_flight_ = in_flight_guard();
       co_return attempt_outcome::complete;
     } else if (auto* failed = std::get_if<engine::completion_failure>(&event)) {
-      self->note_failure(*failed);
+      self->handle_failure(*failed);
       auto outcome = broken("complete") ? attempt_outcome::complete : attempt_outcome::failed;
-      if (failed->status == 0) co_return self->give_up(outcome);
-      self->occupied_ = in_flight_guard();
+      if (failed->status == 0) co_return self->abandon(outcome);
+      self->in_flight_ = in_flight_guard();
       co_return outcome;
-    } else if (self->is_silent()) {
-      shared->logger.warn("attempt silent",
+    } else if (self->is_unresponsive()) {
+      shared->logger.warn("attempt abandoned: no data from the engine",
                           {{"request_id", self->turn_.request_id}, {"engine", self->plan_.destination_name}});
       shared->logger.count("herontally_attempts_failed_total");
-      co_return self->give_up(attempt_outcome::failed);
+      co_return self->abandon(attempt_outcome::failed);
     }
   }
 }
--- a/src/proxy/turn_stream.cc
+++ b/src/proxy/turn_stream.cc
@@ -17,20 +17,20 @@
   turn.out->piece(line_of({{"n", progress.pieces++}, {"text", next.text}}));
 }
 
-void send_end(const context& shared, const turn_request& turn, turn_progress& progress, stream_end how,
+void send_end(const context& shared, const turn_request& turn, turn_progress& progress, stream_end end,
               json fields) {
   fields["turn"] = turn.turn;
-  if (!progress.head_sent && how == stream_end::cut) {
+  if (!progress.head_sent && end == stream_end::cut) {
     shared.count_rejection("not finished");
-    // Only where no engine has heard of the turn is it certain that nothing ran.
-    auto ran = progress.engine_heard ? executed::unknown : executed::no;
+    // The turn certainly did not run only if no engine has received it.
+    auto ran = progress.may_have_reached_engine ? executed::unknown : executed::no;
     http_api::reject(turn.out, 503, fields.value("reason", "cut"), ran, shared.retry_after(1),
                      {{"turn", turn.turn}, {"request_id", turn.request_id}});
     return;
   }
   send_head(turn, progress);
   fields["n"] = progress.pieces;
-  fields["end"] = how == stream_end::complete ? "complete" : "cut";
+  fields["end"] = end == stream_end::complete ? "complete" : "cut";
   fields["pieces"] = progress.pieces;
   turn.out->piece(line_of(fields));
   turn.out->finish();
