--- a/src/engine/listing.cc
+++ b/src/engine/listing.cc
@@ -2,8 +2,8 @@
 
 namespace herontally::engine {
 
-// A list that goes on beyond this many pages turns in a circle.
-constexpr int most_pages = 200;
+// More pages than this mean that the page tokens form a cycle.
+constexpr int max_pages = 200;
 
 runtime::task<std::optional<listing>> fetch_listing(runtime::handle runtime, std::string address,
                                                     std::shared_ptr<const platform_protocol::adapter> adapter,
@@ -11,12 +11,12 @@
   listing found;
   std::string page;
   auto deadline = runtime.now() + timeout;
-  while (found.pages < most_pages) {
+  while (found.pages < max_pages) {
     auto left = deadline - runtime.now();
     if (left <= 0) co_return std::nullopt;
     runtime::http_request request;
     request.path = adapter->list_path(page);
-    // One caller asks again and again: a new connection for each call would cost more than the call.
+    // The list is polled repeatedly, and a new connection would cost more than the request itself.
     request.pooled = true;
     auto result = co_await runtime::http_fetch(runtime, address, request, left);
     auto* response = std::get_if<runtime::http_response>(&result);
@@ -24,7 +24,7 @@
     auto read = adapter->read_list(response->body);
     if (!read) co_return std::nullopt;
     ++found.pages;
-    for (auto& each : read->engines) found.engines.push_back(std::move(each));
+    for (auto& engine : read->engines) found.engines.push_back(std::move(engine));
     if (read->next.empty()) co_return found;
     page = read->next;
   }
--- a/src/proxy/attempt_plan.cc
+++ b/src/proxy/attempt_plan.cc
@@ -119,7 +119,7 @@
   plan.request.model = input.model.name;
   plan.request.request_id = input.request_id;
   plan.request.prompt = input.prompt;
-  plan.request.most_tokens = input.max_tokens;
+  plan.request.max_tokens = input.max_tokens;
   plan.request.identity = identity;
   if (choice->source)
     set_source(plan, engines[*choice->source], choice->source_blocks, input.model.pull_seconds);
--- a/src/proxy/attempt_plan.h
+++ b/src/proxy/attempt_plan.h
@@ -78,7 +78,7 @@
   no_usable_engine,  // no engine could take the turn even with free capacity
 };
 // Chooses the destination and, where it pays, a source for a KV cache pull. `prefixes` says which blocks each
-// engine is believed to hold; `random` breaks ties.
+// engine is believed to hold; `random` decides between equal destinations and in the choice of the source.
 std::variant<turn_plan, plan_failure> plan_turn(const turn_plan_input& input, const planning_context& context,
                                                 const std::vector<engine::engine_state>& rows,
                                                 const prefix::index& prefixes, std::mt19937_64& random);
--- a/src/proxy/call_handler.cc
+++ b/src/proxy/call_handler.cc
@@ -71,7 +71,7 @@
 bool call_handler::is_still_valid(const call_plan& plan) {
   auto& shared = *context_;
   auto& row = shared.engines.row(plan.destination);
-  return shared.is_fresh() && shared.config->revision == plan.config_revision && row.usable() &&
+  return shared.is_fresh() && shared.config->revision == plan.config_revision && row.is_usable() &&
          row.address == plan.address;
 }
 
@@ -149,7 +149,7 @@
           {outcome.response.status, {{"Content-Type", type}, {"Receipt", "none"}}, outcome.response.body});
       co_return;
     }
-    if (outcome.connection_failed) shared->engines.failed(plan->destination);
+    if (outcome.connection_failed) shared->engines.mark_unreachable(plan->destination);
   }
   shared->count_rejection("engines failed");
   reject(call.out, 503, "no engine answered the call", avoid.empty() ? executed::no : executed::unknown,
--- a/src/proxy/idempotent_call.cc
+++ b/src/proxy/idempotent_call.cc
@@ -159,7 +159,7 @@
            shared->retry_after(1));
     co_return attempt_result::answered;
   }
-  if (outcome.connection_failed) shared->engines.failed(plan.destination);
+  if (outcome.connection_failed) shared->engines.mark_unreachable(plan.destination);
   record.state = call_state::not_run;
   bool settled = co_await shared->calls.finish(record_key, record, shared->runtime.now() + ledger_timeout);
   shared->logger.count("herontally_calls_total{how=\"not run\"}");
@@ -211,7 +211,7 @@
   for (auto& row : shared->engines.rows()) {
     // This query is a request as well, so it isn't sent to a draining engine or into an evacuated zone.
     bool evacuated = shared->config->evacuated_zones.contains(row.zone);
-    if (row.name == engine && row.usable() && shared->is_fresh() && !evacuated) address = row.address;
+    if (row.name == engine && row.is_usable() && shared->is_fresh() && !evacuated) address = row.address;
   }
   if (address.empty()) co_return std::nullopt;
   runtime::http_request request;
--- a/src/proxy/node.h
+++ b/src/proxy/node.h
@@ -11,8 +11,8 @@
 // Options for serving the users' platform through an adapter.
 struct platform_options {
   std::shared_ptr<const platform_protocol::adapter> adapter;  // nullptr: the product's own protocol
-  // Minimum lead in cached tokens, over the destination, at which another engine is named as the source of a
-  // KV cache pull; empty: no source is named.
+  // An engine is named as the source of a KV cache pull only if its lead over the destination in cached
+  // tokens exceeds this; empty: no source is named.
   std::optional<std::int64_t> min_cached_token_delta;
 };
 
--- a/src/proxy/turn_attempt.cc
+++ b/src/proxy/turn_attempt.cc
@@ -54,42 +54,42 @@
   return outcome;
 }
 
-std::optional<attempt_outcome> turn_attempt::handle_chunk(engine::completion_chunk& next) {
+std::optional<attempt_outcome> turn_attempt::handle_chunk(engine::completion_chunk& chunk) {
   auto& progress = *progress_;
   auto& shared = *context_;
   last_chunk_at_ = shared.runtime.now();
   // Output is limited to the reserved tokens, whatever the engine sends.
   auto left = static_cast<std::size_t>(turn_.max_tokens) - progress.tokens.size();
-  if (next.tokens.size() > left) next.tokens.resize(left);
-  if (next.tokens.empty()) return std::nullopt;
-  output_.insert(output_.end(), next.tokens.begin(), next.tokens.end());
-  progress.tokens.insert(progress.tokens.end(), next.tokens.begin(), next.tokens.end());
-  progress.text += next.text;
-  shared.logger.count("herontally_tokens_streamed_total", static_cast<double>(next.tokens.size()));
-  send_piece(turn_, progress, next);
+  if (chunk.tokens.size() > left) chunk.tokens.resize(left);
+  if (chunk.tokens.empty()) return std::nullopt;
+  output_.insert(output_.end(), chunk.tokens.begin(), chunk.tokens.end());
+  progress.tokens.insert(progress.tokens.end(), chunk.tokens.begin(), chunk.tokens.end());
+  progress.text += chunk.text;
+  shared.logger.count("herontally_tokens_streamed_total", static_cast<double>(chunk.tokens.size()));
+  send_piece(turn_, progress, chunk);
   auto max_backlog = static_cast<std::size_t>(shared.config->limit.client_buffer_kilobytes) * 1024;
   if (turn_.out->backlog() <= max_backlog) return std::nullopt;
   shared.logger.count("herontally_slow_clients_cut_total");
   return attempt_outcome::too_slow;
 }
 
-void turn_attempt::correct_prefix_index(const engine::completion_summary& last) {
+void turn_attempt::correct_prefix_index(const engine::completion_summary& summary) {
   auto& prefixes = context_->prefixes;
   if (plan_.source) {
-    auto found = static_cast<std::size_t>(std::max<std::int64_t>(0, last.blocks_found));
+    auto found = static_cast<std::size_t>(std::max<std::int64_t>(0, summary.blocks_found));
     // A failed pull says nothing about which blocks the source holds; a completed one does.
-    if (!last.pull_failed)
+    if (!summary.pull_failed)
       prefixes.correct(*plan_.source, plan_.request.source_blocks, found, plan_.request.source_blocks.size());
     else
       prefixes.correct(*plan_.source, {}, 0, 1);
   }
   auto block_tokens = std::max<std::int64_t>(1, plan_.request.identity.block_tokens);
-  auto cached = static_cast<std::size_t>(last.cached_tokens / block_tokens);
+  auto cached = static_cast<std::size_t>(summary.cached_tokens / block_tokens);
   auto expected = plan_.destination_blocks;
   if (expected > 0) prefixes.correct(plan_.destination, {}, std::min(cached, expected), expected);
 }
 
-void turn_attempt::handle_summary(const engine::completion_summary& last) {
+void turn_attempt::handle_summary(const engine::completion_summary& summary) {
   auto& shared = *context_;
   auto now = shared.runtime.now();
   constexpr double new_sample_weight = 0.1;
@@ -99,30 +99,30 @@
   tokens.insert(tokens.end(), output_.begin(), output_.end());
   shared.prefixes.note(plan_.destination, prefix::block_hashes(plan_.request.identity, tokens), now);
   auto& logger = shared.logger;
-  logger.count("herontally_prompt_tokens_total", static_cast<double>(last.prompt_tokens));
-  logger.count("herontally_cached_tokens_total", static_cast<double>(last.cached_tokens));
+  logger.count("herontally_prompt_tokens_total", static_cast<double>(summary.prompt_tokens));
+  logger.count("herontally_cached_tokens_total", static_cast<double>(summary.cached_tokens));
   if (plan_.source) {
-    logger.count("herontally_pull_bytes_total", static_cast<double>(last.bytes_moved));
-    logger.count("herontally_pull_blocks_found_total", static_cast<double>(last.blocks_found));
+    logger.count("herontally_pull_bytes_total", static_cast<double>(summary.bytes_moved));
+    logger.count("herontally_pull_blocks_found_total", static_cast<double>(summary.blocks_found));
     logger.count("herontally_pull_blocks_missed_total",
-                 static_cast<double>(last.blocks_asked - last.blocks_found));
-    if (last.pull_failed) logger.count("herontally_pull_fallbacks_total");
+                 static_cast<double>(summary.blocks_requested - summary.blocks_found));
+    if (summary.pull_failed) logger.count("herontally_pull_fallbacks_total");
   }
-  correct_prefix_index(last);
+  correct_prefix_index(summary);
 }
 
-void turn_attempt::handle_failure(const engine::completion_failure& failed) {
+void turn_attempt::handle_failure(const engine::completion_failure& failure) {
   auto& shared = *context_;
   shared.logger.warn(
       "attempt failed",
-      {{"request_id", turn_.request_id}, {"engine", plan_.destination_name}, {"why", failed.why}});
+      {{"request_id", turn_.request_id}, {"engine", plan_.destination_name}, {"why", failure.reason}});
   shared.logger.count("herontally_attempts_failed_total");
   shared.prefixes.forget(plan_.destination);
-  bool not_sent = !failed.ran && failed.status == 0;
+  bool not_sent = !failure.may_have_run && failure.status == 0;
   if (!not_sent) return;
   // Nothing was sent, so this attempt has reached no engine.
   progress_->may_have_reached_engine = may_have_reached_engine_before_;
-  shared.engines.failed(plan_.destination);
+  shared.engines.mark_unreachable(plan_.destination);
 }
 
 bool turn_attempt::is_unresponsive() const {
@@ -144,16 +144,16 @@
   while (true) {
     auto event = co_await stream.next(poll_period);
     if (auto ended = self->end_condition()) co_return self->abandon(*ended);
-    if (auto* next = std::get_if<engine::completion_chunk>(&event)) {
-      if (auto ended = self->handle_chunk(*next)) co_return self->abandon(*ended);
-    } else if (auto* last = std::get_if<engine::completion_summary>(&event)) {
-      self->handle_summary(*last);
+    if (auto* chunk = std::get_if<engine::completion_chunk>(&event)) {
+      if (auto ended = self->handle_chunk(*chunk)) co_return self->abandon(*ended);
+    } else if (auto* summary = std::get_if<engine::completion_summary>(&event)) {
+      self->handle_summary(*summary);
       self->in_flight_ = in_flight_guard();
       co_return attempt_outcome::complete;
-    } else if (auto* failed = std::get_if<engine::completion_failure>(&event)) {
-      self->handle_failure(*failed);
+    } else if (auto* failure = std::get_if<engine::completion_failure>(&event)) {
+      self->handle_failure(*failure);
       auto outcome = broken("complete") ? attempt_outcome::complete : attempt_outcome::failed;
-      if (failed->status == 0) co_return self->abandon(outcome);
+      if (failure->status == 0) co_return self->abandon(outcome);
       self->in_flight_ = in_flight_guard();
       co_return outcome;
     } else if (self->is_unresponsive()) {
--- a/src/proxy/turn_attempt.h
+++ b/src/proxy/turn_attempt.h
@@ -32,11 +32,11 @@
   // Why the attempt must end now, whatever the engine sends; nullopt if it may continue.
   std::optional<attempt_outcome> end_condition() const;
   // Forwards a chunk; returns an outcome if the client reads too slowly.
-  std::optional<attempt_outcome> handle_chunk(engine::completion_chunk& next);
-  void handle_summary(const engine::completion_summary& last);
+  std::optional<attempt_outcome> handle_chunk(engine::completion_chunk& chunk);
+  void handle_summary(const engine::completion_summary& summary);
   // Corrects which blocks the engines are believed to hold by what they found.
-  void correct_prefix_index(const engine::completion_summary& last);
-  void handle_failure(const engine::completion_failure& failed);
+  void correct_prefix_index(const engine::completion_summary& summary);
+  void handle_failure(const engine::completion_failure& failure);
   bool is_unresponsive() const;
   // Ends the attempt while its engine may still be working on it, and returns `outcome`.
   attempt_outcome abandon(attempt_outcome outcome);
--- a/src/proxy/turn_stream.cc
+++ b/src/proxy/turn_stream.cc
@@ -12,9 +12,9 @@
   turn.out->start(200, {{"Content-Type", "application/x-ndjson"}, {"Request-Id", turn.request_id}});
 }
 
-void send_piece(const turn_request& turn, turn_progress& progress, const engine::completion_chunk& next) {
+void send_piece(const turn_request& turn, turn_progress& progress, const engine::completion_chunk& chunk) {
   send_head(turn, progress);
-  turn.out->piece(line_of({{"n", progress.pieces++}, {"text", next.text}}));
+  turn.out->piece(line_of({{"n", progress.pieces++}, {"text", chunk.text}}));
 }
 
 void send_end(const context& shared, const turn_request& turn, turn_progress& progress, stream_end end,
--- a/src/proxy/turn_stream.h
+++ b/src/proxy/turn_stream.h
@@ -24,7 +24,7 @@
 enum class stream_end { complete, cut };
 
 // Sends a piece of text, after the response headers if it is the first.
-void send_piece(const turn_request& turn, turn_progress& progress, const engine::completion_chunk& next);
+void send_piece(const turn_request& turn, turn_progress& progress, const engine::completion_chunk& chunk);
 // Ends the stream with `fields` in its last piece. A cut turn of which nothing was sent yet is rejected with
 // 503 instead.
 void send_end(const context& shared, const turn_request& turn, turn_progress& progress, stream_end end,
