--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -1,4 +1,6 @@
-// Where a turn or call goes and who lends it cache: a function of what is known, without any I/O.
+// Chooses the engine that runs a request (a turn of a conversation or a call) and, optionally, another engine
+// from which it pulls cached blocks of the prompt. Placement is a function of the state passed in: it does no
+// I/O, keeps no state and reserves nothing; callers count requests and pulls in flight.
 #pragma once
 #include <functional>
 #include <optional>
@@ -11,55 +13,66 @@
 
 namespace herontally::placement {
 
-// One engine, as this proxy knows it.
+// The state of one engine as this proxy knows it.
 struct engine {
   interning::symbol number = 0;
   std::string name, zone, address, weights;
-  bool live = false;                   // it answers us
-  bool draining = false;               // the platform or the engine itself said so
-  bool evacuated = false;              // its zone is
-  std::int64_t reported = 0;           // waiting and running, by its own last report
-  std::int64_t queue = 0;              // waiting alone
-  std::int64_t sent_since_report = 0;  // ours, sent on since that report
-  std::int64_t in_flight = 0;          // ours in all
-  std::int64_t our_pulls_from = 0,
-               our_pulls_into = 0;  // pulls under way that we named it for, as lender and as borrower
-  double age_seconds = 1e9;         // since this life of it was first seen ready
-  std::size_t cached_blocks = 0;    // believed leading blocks of the prompt at hand
-  double belief = 1;
-  double tie_break_score = 0;  // decides between engines alike in load and in what they keep: the larger
+  bool live = false;                   // listed and able to take requests
+  bool draining = false;               // announced by the platform or by the engine
+  bool evacuated = false;              // its zone is being evacuated
+  std::int64_t reported = 0;           // requests waiting and running, from its last report
+  std::int64_t queue = 0;              // requests waiting, from its last report
+  std::int64_t sent_since_report = 0;  // requests from this proxy since that report
+  std::int64_t in_flight = 0;          // all unfinished requests from this proxy
+  // Unfinished pulls that this proxy has assigned, with this engine as source and as destination.
+  std::int64_t our_pulls_from = 0, our_pulls_into = 0;
+  double age_seconds = 1e9;       // since this incarnation was first seen ready
+  std::size_t cached_blocks = 0;  // predicted number of the prompt's leading blocks in its cache
+  double belief = 1;              // accuracy of earlier predictions, 0 to 1 (see prefix::index)
+  double tie_break_score = 0;     // breaks ties in load and cached prefix; higher is better
 };
 
+// What is to be placed, with the limits that apply to it.
 struct placement_request {
-  std::string weights;  // the model's version; empty for calls
-  std::int64_t block_tokens = 16;
+  std::string weights;             // version of the model's weights that engines must have; empty for any
+  std::int64_t block_tokens = 16;  // tokens per cache block
   std::size_t prompt_tokens = 0;
+  // A source is chosen only if its cached prefix exceeds the destination's by more than this many tokens;
+  // nothing: no source is chosen.
   std::optional<std::int64_t> min_cached_token_delta;
-  std::int64_t near_tie_tokens = 0;
+  std::int64_t near_tie_tokens = 0;  // sources within this many tokens of the best one are drawn among
+  // Limits on each engine, over all proxies. An engine starts at `slow_start_concurrent` requests and one
+  // pull and reaches the full limits after `warm_seconds`.
   std::int64_t max_concurrent = 8, slow_start_concurrent = 1;
   std::int64_t max_pulls_per_source = 4, max_pulls_per_destination = 4;
   double warm_seconds = 20;
-  // Proxies that share each engine's caps, and this one's place among them; a proxy that isn't listed (rank
-  // -1) has no share. While the list changes the one before counts as well, and the smaller share holds.
+  // The number of proxies that share each engine's limits and this proxy's rank among them, from 0; a proxy
+  // that isn't listed (rank -1) has no share. While the list of proxies changes, the smaller of the shares in
+  // the new and the previous list applies; `proxies_before` is 0 when there is no previous list.
   std::int64_t proxies = 1, rank = 0, proxies_before = 0, rank_before = 0;
   configuration::table table;
-  std::vector<interning::symbol> avoid;  // engines that earlier attempts of this request failed on
+  std::vector<interning::symbol> avoid;  // engines on which earlier attempts of this request failed
 };
 
+// The result of a placement; positions are indices into the list of engines passed to `place`.
 struct choice {
-  std::size_t destination = 0;        // position in the list of engines
-  std::optional<std::size_t> source;  // lender
-  std::size_t source_blocks = 0;      // what the lender is believed to hold
+  std::size_t destination = 0;        // engine that runs the request
+  std::optional<std::size_t> source;  // engine to pull cached blocks from
+  std::size_t source_blocks = 0;      // predicted number of leading blocks in its cache
 };
 
-// This proxy's share of a cap that holds for all proxies together.
-std::int64_t share_of(std::int64_t cap, const placement_request& asked, const std::string& engine);
-// What a cold engine may have at once, over all proxies.
+// This proxy's share of a limit on an engine that all proxies share. The shares of all
+// proxies add up to `cap`, or to less while the list of proxies changes.
+std::int64_t share_of(std::int64_t cap, const placement_request& request, const std::string& engine);
+// The limit of an engine during slow start, over all proxies: rises linearly from `cold` to `full` within
+// `warm_seconds`, rounded down, and is at least 1 until then.
 std::int64_t ramped(std::int64_t cold, std::int64_t full, double age_seconds, double warm_seconds);
-// Whether any engine could take it once it has room.
-bool could_serve(const placement_request& asked, const std::vector<engine>& engines);
-// Nothing means that no engine is free to take it now.
-std::optional<choice> place(const placement_request& asked, const std::vector<engine>& engines,
+// Whether some engine is eligible for the request, regardless of its load. Where `place` finds none, this
+// tells callers whether waiting can help.
+bool could_serve(const placement_request& request, const std::vector<engine>& engines);
+// Chooses a destination and, if worthwhile, a source. Returns nothing if no eligible engine is below its
+// limit.
+std::optional<choice> place(const placement_request& request, const std::vector<engine>& engines,
                             std::mt19937_64& random);
 
 }  // namespace herontally::placement
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -1,4 +1,4 @@
-// Placement and the prefix index: the design's ordinary path.
+// Placement of requests on engines, and the prefix index, without faults.
 #include "placement/placement.h"
 
 #include <catch2/catch.hpp>
@@ -9,8 +9,8 @@
 
 namespace {
 
-placement::engine ready(std::uint32_t number, std::int64_t usage, std::size_t cached = 0,
-                        std::int64_t queue = 0) {
+placement::engine ready_engine(std::uint32_t number, std::int64_t usage, std::size_t cached = 0,
+                               std::int64_t queue = 0) {
   placement::engine each;
   each.number = number;
   each.name = "e" + std::to_string(number);
@@ -23,91 +23,93 @@
   return each;
 }
 
-placement::placement_request ask(std::optional<std::int64_t> delta) {
-  placement::placement_request asked;
-  asked.weights = "v1";
-  asked.prompt_tokens = 1000;
-  asked.min_cached_token_delta = delta;
-  asked.max_concurrent = 100;
-  return asked;
+placement::placement_request request_with_threshold(std::optional<std::int64_t> delta) {
+  placement::placement_request request;
+  request.weights = "v1";
+  request.prompt_tokens = 1000;
+  request.min_cached_token_delta = delta;
+  request.max_concurrent = 100;
+  return request;
 }
 
 }  // namespace
 
-TEST_CASE("load decides the destination, then the largest holder is compared with it") {
+TEST_CASE("the destination is chosen by load, then compared with the engine that has the most cached") {
   std::mt19937_64 random(1);
-  std::vector<placement::engine> engines{ready(0, 5, 40), ready(1, 1, 0), ready(2, 3, 10)};
-  auto made = placement::place(ask(100), engines, random);
-  REQUIRE(made);
-  REQUIRE(made->destination == 1);
-  REQUIRE(made->source == std::optional<std::size_t>(0));
-  REQUIRE(made->source_blocks == 40);
-  // Off unless there is a threshold; a lead of exactly the threshold is not above it.
-  REQUIRE_FALSE(placement::place(ask(std::nullopt), engines, random)->source);
-  REQUIRE_FALSE(placement::place(ask(640), engines, random)->source);
-  REQUIRE(placement::place(ask(639), engines, random)->source);
+  std::vector<placement::engine> engines{ready_engine(0, 5, 40), ready_engine(1, 1, 0),
+                                         ready_engine(2, 3, 10)};
+  auto result = placement::place(request_with_threshold(100), engines, random);
+  REQUIRE(result);
+  REQUIRE(result->destination == 1);
+  REQUIRE(result->source == std::optional<std::size_t>(0));
+  REQUIRE(result->source_blocks == 40);
+  // No source without a threshold, nor with an advantage of exactly the threshold.
+  REQUIRE_FALSE(placement::place(request_with_threshold(std::nullopt), engines, random)->source);
+  REQUIRE_FALSE(placement::place(request_with_threshold(640), engines, random)->source);
+  REQUIRE(placement::place(request_with_threshold(639), engines, random)->source);
 }
 
-TEST_CASE("a tie and a destination that holds the most stay local") {
+TEST_CASE("no source is chosen on a tie or if the destination has the most cached") {
   std::mt19937_64 random(1);
-  std::vector<placement::engine> tie{ready(0, 5, 20), ready(1, 1, 20)};
-  REQUIRE_FALSE(placement::place(ask(0), tie, random)->source);
-  std::vector<placement::engine> self{ready(0, 5, 20), ready(1, 1, 60)};
-  REQUIRE_FALSE(placement::place(ask(0), self, random)->source);
+  std::vector<placement::engine> tie{ready_engine(0, 5, 20), ready_engine(1, 1, 20)};
+  REQUIRE_FALSE(placement::place(request_with_threshold(0), tie, random)->source);
+  std::vector<placement::engine> self{ready_engine(0, 5, 20), ready_engine(1, 1, 60)};
+  REQUIRE_FALSE(placement::place(request_with_threshold(0), self, random)->source);
 }
 
-TEST_CASE("near-tied holders are drawn with weights inverse to their queues") {
+TEST_CASE("nearly equal sources are drawn with weights inverse to their queue lengths") {
   std::mt19937_64 random(3);
-  auto asked = ask(100);
-  asked.near_tie_tokens = 32;
-  std::vector<placement::engine> engines{ready(0, 0), ready(1, 9, 40, 0), ready(2, 9, 39, 3),
-                                         ready(3, 9, 20, 0)};
+  auto request = request_with_threshold(100);
+  request.near_tie_tokens = 32;
+  std::vector<placement::engine> engines{ready_engine(0, 0), ready_engine(1, 9, 40, 0),
+                                         ready_engine(2, 9, 39, 3), ready_engine(3, 9, 20, 0)};
   int named[4] = {0, 0, 0, 0};
-  for (int turn = 0; turn < 4000; ++turn) ++named[*placement::place(asked, engines, random)->source];
-  // 1/(1+0) against 1/(1+3): four to one; the third holds too little to be near.
+  for (int turn = 0; turn < 4000; ++turn) ++named[*placement::place(request, engines, random)->source];
+  // Weights 1/(1+0) and 1/(1+3), four to one; engine 3 has too little cached to be nearly equal.
   REQUIRE(named[3] == 0);
   REQUIRE(named[1] > 3000);
   REQUIRE(named[1] < 3400);
 }
 
-TEST_CASE("draining, evacuated, dead and other-weight engines neither serve nor lend") {
+TEST_CASE(
+    "draining, evacuated and dead engines and those with other weights are neither destination nor source") {
   std::mt19937_64 random(5);
   for (int kind = 0; kind < 4; ++kind) {
-    auto bad = ready(0, 0, 60);
+    auto bad = ready_engine(0, 0, 60);
     if (kind == 0) bad.draining = true;
     if (kind == 1) bad.evacuated = true;
     if (kind == 2) bad.live = false;
     if (kind == 3) bad.weights = "v2";
-    std::vector<placement::engine> engines{bad, ready(1, 7)};
-    auto made = placement::place(ask(10), engines, random);
-    REQUIRE(made);
-    REQUIRE(made->destination == 1);
-    REQUIRE_FALSE(made->source);
-    REQUIRE_FALSE(placement::place(ask(10), {bad}, random));
+    std::vector<placement::engine> engines{bad, ready_engine(1, 7)};
+    auto result = placement::place(request_with_threshold(10), engines, random);
+    REQUIRE(result);
+    REQUIRE(result->destination == 1);
+    REQUIRE_FALSE(result->source);
+    REQUIRE_FALSE(placement::place(request_with_threshold(10), {bad}, random));
   }
 }
 
-TEST_CASE("a cold engine's cap holds over all proxies together, for turns and for pulls") {
+TEST_CASE("all proxies together keep to a cold engine's limits on turns and pulls") {
   std::mt19937_64 random(7);
   for (std::int64_t proxies : {1, 3, 12, 60}) {
     for (double age : {0.0, 4.0, 9.0}) {
       std::int64_t turns = 0, pulls = 0;
       for (std::int64_t proxy = 0; proxy < proxies; ++proxy) {
-        auto asked = ask(10);
-        asked.max_concurrent = 8;
-        asked.warm_seconds = 10;
-        asked.proxies = proxies;
-        asked.rank = proxy;
-        auto cold = ready(0, 0, 60);
+        auto request = request_with_threshold(10);
+        request.max_concurrent = 8;
+        request.warm_seconds = 10;
+        request.proxies = proxies;
+        request.rank = proxy;
+        auto cold = ready_engine(0, 0, 60);
         cold.age_seconds = age;
-        // This proxy alone, with nothing seen of the others: the worst case.
-        while (placement::place(asked, {cold}, random)) {
+        // The worst case: this proxy sees nothing of the others' turns.
+        while (placement::place(request, {cold}, random)) {
           ++turns;
           ++cold.in_flight;
           ++cold.sent_since_report;
         }
-        std::vector<placement::engine> engines{cold, ready(1, 0)};
-        while (placement::place(asked, engines, random)->source) {
+        std::vector<placement::engine> engines{cold, ready_engine(1, 0)};
+        while (placement::place(request, engines, random)->source) {
           ++pulls;
           ++engines[0].our_pulls_from;
         }
@@ -119,34 +121,36 @@
   }
 }
 
-TEST_CASE("proxies that learned of the engines in different orders hand out no more than the cap") {
-  // The same engine has another index at each proxy; its cap is shared by its name.
+TEST_CASE("proxies that number the engines differently still keep to the limit together") {
+  // The engine has a different symbol at each proxy; shares are computed from its name.
   for (int number = 0; number < 50; ++number) {
     std::int64_t taken = 0;
     for (int rank = 0; rank < 3; ++rank) {
-      auto asked = ask(std::nullopt);
-      asked.proxies = 3;
-      asked.rank = rank;
-      asked.warm_seconds = 10;
-      asked.max_concurrent = 8;
+      auto request = request_with_threshold(std::nullopt);
+      request.proxies = 3;
+      request.rank = rank;
+      request.warm_seconds = 10;
+      request.max_concurrent = 8;
       std::mt19937_64 random(1);
-      auto engine = ready(static_cast<std::uint32_t>(7 * rank + number % 5), 0);
+      auto engine = ready_engine(static_cast<std::uint32_t>(7 * rank + number % 5), 0);
       engine.name = "engine-" + std::to_string(number);
       engine.age_seconds = 0.5;
-      for (; placement::place(asked, {engine}, random) && engine.in_flight < 9; ++taken) ++engine.in_flight;
+      for (; placement::place(request, {engine}, random) && engine.in_flight < 9; ++taken) ++engine.in_flight;
     }
     REQUIRE(taken == 1);
   }
 }
 
-TEST_CASE("a doubted holder must hold more to be named") {
+TEST_CASE("an engine with low prediction accuracy needs more cached blocks to be a source") {
   std::mt19937_64 random(9);
-  auto doubted = ready(0, 5, 40);
-  doubted.belief = 0.1;
-  REQUIRE_FALSE(placement::place(ask(100), {doubted, ready(1, 0)}, random)->source);
+  auto inaccurate = ready_engine(0, 5, 40);
+  inaccurate.belief = 0.1;
+  REQUIRE_FALSE(
+      placement::place(request_with_threshold(100), {inaccurate, ready_engine(1, 0)}, random)->source);
 }
 
-TEST_CASE("block hashes keep private history, weights, partners and seeds apart, and share what is shared") {
+TEST_CASE(
+    "block hashes differ by program for private tokens and by identity for all, and agree on shared tokens") {
   std::mt19937_64 random(11);
   std::vector<std::int64_t> tokens(160);
   for (auto& token : tokens) token = static_cast<std::int64_t>(random() % 1000);
@@ -156,7 +160,7 @@
   auto other = one;
   other.program = "b";
   auto across = prefix::block_hashes(other, tokens);
-  // 50 shared tokens are three whole blocks; the fourth holds private ones.
+  // 50 shared tokens fill three blocks; the fourth block has private tokens.
   for (std::size_t position = 0; position < 10; ++position)
     REQUIRE((base[position] == across[position]) == (position < 3));
   for (int field = 0; field < 5; ++field) {
@@ -171,10 +175,10 @@
   }
 }
 
-TEST_CASE("the index ages, forgets and corrects itself as a plain list of facts would") {
+TEST_CASE("the index expires, forgets and corrects entries like a map of last uses") {
   std::mt19937_64 random(13);
-  prefix::index held({50, 1000});
-  std::map<std::string, std::int64_t> oracle;  // one engine, by time of last use
+  prefix::index index({50, 1000});
+  std::map<std::string, std::int64_t> expected_uses;  // of one engine: time of last use by block hash
   std::vector<std::string> chain;
   for (int position = 0; position < 30; ++position) chain.push_back("h" + std::to_string(position));
   std::int64_t now = 0;
@@ -184,27 +188,28 @@
         std::vector<std::string>(chain.begin(), chain.begin() + static_cast<std::ptrdiff_t>(random() % 31));
     switch (random() % 8) {
       case 0:
-        held.forget(0);
-        oracle.clear();
+        index.forget(0);
+        expected_uses.clear();
         break;
       case 1: {
         auto found = part.empty() ? 0 : random() % (part.size() + 1);
-        held.correct(0, part, found, part.size());
-        for (auto position = found; position < part.size(); ++position) oracle.erase(part[position]);
+        index.correct(0, part, found, part.size());
+        for (auto position = found; position < part.size(); ++position) expected_uses.erase(part[position]);
         break;
       }
       case 2:
       case 3:
-        held.note(0, part, now);
-        for (auto& hash : part) oracle[hash] = now;
+        index.note(0, part, now);
+        for (auto& hash : part) expected_uses[hash] = now;
         break;
       default:
         break;
     }
     std::size_t expected = 0;
-    while (expected < part.size() && oracle.count(part[expected]) && now - oracle[part[expected]] <= 1000)
+    while (expected < part.size() && expected_uses.count(part[expected]) &&
+           now - expected_uses[part[expected]] <= 1000)
       ++expected;
-    REQUIRE(held.leading(0, part, now) == expected);
+    REQUIRE(index.leading(0, part, now) == expected);
   }
-  REQUIRE(held.belief(0) <= 1);
+  REQUIRE(index.belief(0) <= 1);
 }
