--- a/src/prefix/prefix.cc
+++ b/src/prefix/prefix.cc
@@ -13,39 +13,42 @@
 namespace herontally::prefix {
 
 namespace {
-std::string hash_text(const std::string& text) {
+std::string hash_hex(const std::string& text) {
   unsigned char raw[EVP_MAX_MD_SIZE];
   unsigned int size = 0;
   EVP_Digest(text.data(), text.size(), raw, &size, EVP_sha256(), nullptr);
   static const char digits[] = "0123456789abcdef";
   std::string out;
-  // 128 bits: two programs' blocks must not meet by chance.
+  // 128 bits, so that blocks of two programs don't collide by chance.
   for (int position = 0; position < 16; ++position) {
     out += digits[raw[position] >> 4];
     out += digits[raw[position] & 15];
   }
   return out;
 }
-// Lengths stand before the parts, so that no two lists of parts join to the same text.
-std::string join(std::initializer_list<std::string> parts) {
+// Each part is prefixed with its length, so that different lists of parts never give the same text.
+std::string join_length_prefixed(std::initializer_list<std::string> parts) {
   std::string out;
   for (auto& part : parts) out += std::to_string(part.size()) + ":" + part;
   return out;
 }
 }  // namespace
 
-std::vector<std::string> block_hashes(const identity& who, const std::vector<std::int64_t>& tokens) {
+std::vector<std::string> block_hashes(const identity& identity, const std::vector<std::int64_t>& tokens) {
   std::vector<std::string> hashes;
-  std::string chain = hash_text(join({who.hash_seed, std::to_string(who.block_tokens), who.partner, who.model,
-                                      broken("weights") ? "" : who.weights}));
-  auto block = static_cast<std::size_t>(who.block_tokens < 1 ? 1 : who.block_tokens);
+  std::string chain = hash_hex(
+      join_length_prefixed({identity.hash_seed, std::to_string(identity.block_tokens), identity.partner,
+                            identity.model, broken("weights") ? "" : identity.weights}));
+  auto block = static_cast<std::size_t>(identity.block_tokens < 1 ? 1 : identity.block_tokens);
   for (std::size_t begin = 0; begin + block <= tokens.size(); begin += block) {
     std::string content = chain;
     for (std::size_t position = begin; position < begin + block; ++position)
       content += "," + std::to_string(tokens[position]);
-    // A block with even one private token belongs to the program alone, and so does all that follows it.
-    if (begin + block > who.shared_tokens && !broken("salt")) content += join({"private", who.program});
-    chain = hash_text(content);
+    // A block with any private token is hashed with the program, and the chain carries that to all later
+    // blocks.
+    if (begin + block > identity.shared_tokens && !broken("salt"))
+      content += join_length_prefixed({"private", identity.program});
+    chain = hash_hex(content);
     hashes.push_back(chain);
   }
   return hashes;
@@ -55,7 +58,7 @@
   std::vector<std::int64_t> tokens;
   std::size_t position = 0;
   while (position < text.size()) {
-    // A token is up to four bytes and never crosses from a word into the space behind it.
+    // A token has up to four bytes, which are either all alphanumeric or all not.
     std::size_t end = position + 1;
     bool word = std::isalnum(static_cast<unsigned char>(text[position])) != 0;
     while (end < text.size() && end - position < 4 &&
@@ -68,25 +71,27 @@
   return tokens;
 }
 
-namespace boxes = boost::multi_index;
-struct held {
+namespace multi_index = boost::multi_index;
+struct cached_block {
   std::string hash;
-  std::int64_t used = 0;
+  std::int64_t last_used = 0;
 };
-// By hash for look-up, by order of use for aging.
-using shelf = boxes::multi_index_container<
-    held, boxes::indexed_by<boxes::hashed_unique<boxes::member<held, std::string, &held::hash>>,
-                            boxes::sequenced<>>>;
-
-struct engine_shelf {
-  shelf blocks;
-  double belief = 1;
+// Looked up by hash, expired in order of last use.
+using block_lru = multi_index::multi_index_container<
+    cached_block,
+    multi_index::indexed_by<
+        multi_index::hashed_unique<multi_index::member<cached_block, std::string, &cached_block::hash>>,
+        multi_index::sequenced<>>>;
+
+struct engine_blocks {
+  block_lru blocks;
+  double belief = 1;  // moving average of the accuracy of predictions
 };
 
 struct index::state {
   limits bounds;
-  std::vector<engine_shelf> engines;
-  engine_shelf& of(interning::symbol engine) {
+  std::vector<engine_blocks> engines;
+  engine_blocks& of(interning::symbol engine) {
     if (engines.size() <= engine) engines.resize(engine + 1);
     return engines[engine];
   }
@@ -102,14 +107,14 @@
   for (auto& hash : hashes) {
     auto found = blocks.find(hash);
     if (found != blocks.end()) {
-      blocks.modify(found, [now](held& entry) { entry.used = now; });
+      blocks.modify(found, [now](cached_block& block) { block.last_used = now; });
       order.relocate(order.end(), blocks.project<1>(found));
     } else {
       blocks.insert({hash, now});
     }
   }
   while (blocks.size() > state_->bounds.blocks_per_engine) order.pop_front();
-  while (!order.empty() && now - order.front().used > state_->bounds.longest_age) order.pop_front();
+  while (!order.empty() && now - order.front().last_used > state_->bounds.longest_age) order.pop_front();
 }
 
 std::size_t index::leading(interning::symbol engine, const std::vector<std::string>& hashes,
@@ -119,22 +124,22 @@
   std::size_t count = 0;
   for (auto& hash : hashes) {
     auto found = blocks.find(hash);
-    if (found == blocks.end() || now - found->used > state_->bounds.longest_age) break;
+    if (found == blocks.end() || now - found->last_used > state_->bounds.longest_age) break;
     ++count;
   }
   return count;
 }
 
-void index::forget(interning::symbol engine) { state_->of(engine) = engine_shelf{}; }
+void index::forget(interning::symbol engine) { state_->of(engine) = engine_blocks{}; }
 
 void index::correct(interning::symbol engine, const std::vector<std::string>& hashes, std::size_t found,
                     std::size_t predicted) {
-  auto& shelf_of = state_->of(engine);
+  auto& entry = state_->of(engine);
   for (std::size_t position = found; position < hashes.size(); ++position)
-    shelf_of.blocks.erase(hashes[position]);
+    entry.blocks.erase(hashes[position]);
   if (predicted == 0) return;
   double right = static_cast<double>(found < predicted ? found : predicted) / static_cast<double>(predicted);
-  shelf_of.belief = 0.7 * shelf_of.belief + 0.3 * right;
+  entry.belief = 0.7 * entry.belief + 0.3 * right;
 }
 
 double index::belief(interning::symbol engine) const {
--- a/src/prefix/prefix.h
+++ b/src/prefix/prefix.h
@@ -1,5 +1,6 @@
-// Which engine holds which prefix: guessed from our own traffic, aged, and corrected when engines say
-// otherwise.
+// Block hashes of prompts, and an index that predicts which leading blocks of a prompt each engine has
+// cached. The index learns from this process's own requests, expires entries by age and count, and is
+// corrected by what engines report; it doesn't ask the engines and may be wrong.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -10,42 +11,50 @@
 
 namespace herontally::prefix {
 
-// Everything that two engines must agree on for their blocks to be the same.
+// What must be equal for two cached blocks with the same tokens to be interchangeable.
 struct identity {
   std::string partner, model, weights, hash_seed;
-  std::int64_t block_tokens = 16;
-  // Tokens from this one on are private to the program: blocks that hold any of them carry its name.
+  std::int64_t block_tokens = 16;  // tokens per block; values below 1 count as 1
+  // Tokens from this position on are private to the program: the hash of a block that has any of them
+  // includes the program's name.
   std::size_t shared_tokens = 0;
   std::string program;
 };
 
-// Chained hashes of the whole blocks, in hexadecimal.
-std::vector<std::string> block_hashes(const identity& who, const std::vector<std::int64_t>& tokens);
+// The hash of each complete block, in hexadecimal; a hash covers all earlier blocks too. Tokens after the
+// last complete block are ignored.
+std::vector<std::string> block_hashes(const identity& identity, const std::vector<std::int64_t>& tokens);
 
-// The stand-in for a model's own tokenizer: what the engines and the proxies must share.
+// Splits a text into token ids. It stands in for a model's own tokenizer; engines and proxies must use the
+// same one.
 std::vector<std::int64_t> tokenize(const std::string& text);
 
+// Predicts the cached blocks of each engine. Times are microseconds of one monotonic clock and must not go
+// back.
 class index {
  public:
   struct limits {
-    std::size_t blocks_per_engine = 20000;
-    std::int64_t longest_age = 600ll * 1000000;  // microseconds without a sign of use
+    std::size_t blocks_per_engine = 20000;       // the least recently used ones are dropped
+    std::int64_t longest_age = 600ll * 1000000;  // microseconds since the last known use
   };
   index();
   explicit index(limits bounds);
   ~index();
-  // These blocks were sent to or produced by this engine at this moment.
+  // Records that the engine received or produced these blocks at time `now`.
   void note(interning::symbol engine, const std::vector<std::string>& hashes, std::int64_t now);
-  // How many leading blocks the engine is believed to hold.
+  // The number of leading blocks that the engine is predicted to have cached.
   std::size_t leading(interning::symbol engine, const std::vector<std::string>& hashes,
                       std::int64_t now) const;
-  // An engine restarted, changed weights, drains or left: nothing is believed of it any more.
+  // Drops all entries of an engine and resets its accuracy, for an engine that restarted, changed weights,
+  // drains or left.
   void forget(interning::symbol engine);
-  // It was said to hold `foretold` blocks and had `found`: beyond those it is believed no more, and
-  // what is believed of it counts for less until it proves right again.
+  // The engine was predicted to have `predicted` blocks cached and had `found`: drops the entries of `hashes`
+  // after the first `found` and updates the engine's accuracy, unless `predicted` is 0.
   void correct(interning::symbol engine, const std::vector<std::string>& hashes, std::size_t found,
                std::size_t predicted);
+  // The moving average of the share of predicted blocks that the engine had, 0 to 1; 1 for an unknown engine.
   double belief(interning::symbol engine) const;
+  // The number of entries of this engine, including expired ones that are not yet removed.
   std::size_t size(interning::symbol engine) const;
 
  private:
