--- a/src/routing/table.cc
+++ b/src/routing/table.cc
@@ -8,16 +8,17 @@
 
 namespace {
 
-bool same_host(std::string_view one, std::string_view other) {
+// Compares host names, ignoring the case of ASCII letters.
+bool same_host(std::string_view left, std::string_view right) {
   auto lower = [](char letter) { return letter >= 'A' && letter <= 'Z' ? letter + ('a' - 'A') : +letter; };
-  return std::equal(one.begin(), one.end(), other.begin(), other.end(),
-                    [&](char left, char right) { return lower(left) == lower(right); });
+  return std::equal(left.begin(), left.end(), right.begin(), right.end(),
+                    [&](char one, char other) { return lower(one) == lower(other); });
 }
 
-// The host alone: a port after it tells nothing about the route.
+// Strips the port, which routes ignore.
 std::string_view without_port(std::string_view host) {
   auto colon = host.rfind(':');
-  // Inside the brackets of an IPv6 address a colon is part of the host.
+  // Colons inside the brackets of an IPv6 address are part of the host.
   if (colon == std::string_view::npos || host.find(']', colon) != std::string_view::npos) return host;
   return host.substr(0, colon);
 }
@@ -88,61 +89,61 @@
 }
 
 const route* table::match(const std::string& host, const std::string& path) const {
-  auto wanted = without_port(host);
+  auto hostname = without_port(host);
   const route* best = nullptr;
   for (auto& each : routes) {
     if (best && each.prefix.size() <= best->prefix.size()) continue;
-    if (path.compare(0, each.prefix.size(), each.prefix) == 0 && same_host(each.host, wanted)) best = &each;
+    if (path.compare(0, each.prefix.size(), each.prefix) == 0 && same_host(each.host, hostname)) best = &each;
   }
   return best;
 }
 
 static void check_route(const table& content, const route& entry, const std::string& pointer,
-                        std::vector<violation>& faults) {
-  if (entry.deadline <= 0) faults.push_back({pointer + "/deadline", "must be above 0"});
-  std::int64_t total = 0;
-  bool negative = false;
+                        std::vector<violation>& violations) {
+  if (entry.deadline <= 0) violations.push_back({pointer + "/deadline", "must be above 0"});
+  std::int64_t positive_shares = 0;
+  bool has_negative_share = false;
   for (std::size_t number = 0; number < entry.targets.size(); ++number) {
     auto& target = entry.targets[number];
-    auto place = pointer + "/targets/" + std::to_string(number);
+    auto target_pointer = pointer + "/targets/" + std::to_string(number);
     if (!content.find_service(target.service))
-      faults.push_back({place + "/service", "names no service: " + target.service});
-    if (target.share < 0) faults.push_back({place + "/share", "must not be below 0"});
-    negative = negative || target.share < 0;
-    // Shares are relative, so that one of any size counts as there; sums of huge ones would overflow.
-    total += target.share > 0 ? 1 : 0;
+      violations.push_back({target_pointer + "/service", "names no service: " + target.service});
+    if (target.share < 0) violations.push_back({target_pointer + "/share", "must not be below 0"});
+    has_negative_share = has_negative_share || target.share < 0;
+    // Counts the positive shares instead of adding them up: a sum of huge shares would overflow.
+    positive_shares += target.share > 0 ? 1 : 0;
   }
   if (entry.targets.empty())
-    faults.push_back({pointer + "/targets", "names no service"});
-  else if (total == 0 && !negative)
-    faults.push_back({pointer + "/targets", "the shares add up to 0"});
+    violations.push_back({pointer + "/targets", "names no service"});
+  else if (positive_shares == 0 && !has_negative_share)
+    violations.push_back({pointer + "/targets", "the shares add up to 0"});
 }
 
-static void check_tenants(const table& content, std::vector<violation>& faults) {
+static void check_tenants(const table& content, std::vector<violation>& violations) {
   std::set<std::string> names;
-  std::map<std::string, std::string> owners;  // of credentials
+  std::map<std::string, std::string> tenant_of_credential;
   for (std::size_t number = 0; number < content.tenants.size(); ++number) {
     auto& entry = content.tenants[number];
     auto pointer = "/tenants/" + std::to_string(number);
     if (!names.insert(entry.name).second)
-      faults.push_back({pointer + "/name", "another tenant has this name: " + entry.name});
+      violations.push_back({pointer + "/name", "another tenant has this name: " + entry.name});
     for (auto& credential : entry.credentials) {
-      auto [owner, added] = owners.emplace(credential, entry.name);
-      // The credential itself is a secret, which no answer repeats.
+      auto [owner, added] = tenant_of_credential.emplace(credential, entry.name);
+      // The credential is a secret and must not appear in the message.
       if (!added && owner->second != entry.name)
-        faults.push_back({pointer + "/credentials", "shares a credential with " + owner->second});
+        violations.push_back({pointer + "/credentials", "shares a credential with " + owner->second});
     }
   }
 }
 
 std::vector<violation> check(const table& content) {
-  std::vector<violation> faults;
+  std::vector<violation> violations;
   std::set<std::string> names;
-  std::set<std::pair<std::string, std::string>> places;
+  std::set<std::pair<std::string, std::string>> host_prefixes;
   for (std::size_t number = 0; number < content.services.size(); ++number) {
     auto& entry = content.services[number];
     if (!names.insert(entry.name).second)
-      faults.push_back(
+      violations.push_back(
           {"/services/" + std::to_string(number) + "/name", "another service has this name: " + entry.name});
   }
   names.clear();
@@ -150,17 +151,17 @@
     auto& entry = content.routes[number];
     auto pointer = "/routes/" + std::to_string(number);
     if (!names.insert(entry.name).second)
-      faults.push_back({pointer + "/name", "another route has this name: " + entry.name});
+      violations.push_back({pointer + "/name", "another route has this name: " + entry.name});
     std::string host(without_port(entry.host));
     std::transform(host.begin(), host.end(), host.begin(),
                    [](unsigned char letter) { return static_cast<char>(std::tolower(letter)); });
-    if (!places.insert({host, entry.prefix}).second)
-      faults.push_back(
+    if (!host_prefixes.insert({host, entry.prefix}).second)
+      violations.push_back(
           {pointer + "/prefix", "another route has this host and prefix: " + entry.host + entry.prefix});
-    check_route(content, entry, pointer, faults);
+    check_route(content, entry, pointer, violations);
   }
-  check_tenants(content, faults);
-  return faults;
+  check_tenants(content, violations);
+  return violations;
 }
 
 }  // namespace herontally::routing
--- a/tests/routing_test.cc
+++ b/tests/routing_test.cc
@@ -1,4 +1,4 @@
-// The routing table: its form, its matches and what stands against it.
+// The routing table: its JSON form, the matching of requests to routes, and validation.
 #include <catch2/catch.hpp>
 
 #include "routing/table.h"
@@ -37,52 +37,52 @@
 
 static std::vector<std::string> pointers(const table& content) {
   std::vector<std::string> list;
-  for (auto& each : check(content)) list.push_back(each.pointer);
+  for (auto& violation : check(content)) list.push_back(violation.pointer);
   return list;
 }
 using list = std::vector<std::string>;
 
-TEST_CASE("a routing table survives its JSON form") {
+TEST_CASE("a routing table is the same after a round trip through JSON") {
   json document = small_table();
-  table back = document;
-  CHECK(json(back) == document);
-  CHECK(back.version == 7);
-  CHECK(back.routes[0].kind == category::streaming);
-  REQUIRE(back.find_service("chat"));
-  CHECK(back.find_service("chat")->model->min_cached_token_delta == 3000);
-  CHECK(!back.find_service("tool")->model);
-  CHECK(!back.find_service("none"));
+  table parsed = document;
+  CHECK(json(parsed) == document);
+  CHECK(parsed.version == 7);
+  CHECK(parsed.routes[0].kind == category::streaming);
+  REQUIRE(parsed.find_service("chat"));
+  CHECK(parsed.find_service("chat")->model->min_cached_token_delta == 3000);
+  CHECK(!parsed.find_service("tool")->model);
+  CHECK(!parsed.find_service("none"));
   table empty = json::object();
   CHECK(empty.version == 0);
 }
 
-TEST_CASE("the longest prefix of the host wins, whatever its case and port") {
+TEST_CASE("the longest matching prefix of the host wins, regardless of the host's case and port") {
   auto content = small_table();
-  auto name = [&](const std::string& host, const std::string& path) {
+  auto matched_route = [&](const std::string& host, const std::string& path) {
     auto* found = content.match(host, path);
     return found ? found->name : "";
   };
-  CHECK(name("a.example", "/talk/x") == "talk");
-  CHECK(name("A.EXAMPLE:8080", "/talk/look/x") == "look");
-  CHECK(name("a.example", "/talk/look") == "talk");
-  CHECK(name("a.example", "/talk") == "");
-  CHECK(name("a.example", "/TALK/x") == "");
-  CHECK(name("b.example", "/talk/x") == "");
-  CHECK(name("", "/talk/x") == "");
+  CHECK(matched_route("a.example", "/talk/x") == "talk");
+  CHECK(matched_route("A.EXAMPLE:8080", "/talk/look/x") == "look");
+  CHECK(matched_route("a.example", "/talk/look") == "talk");
+  CHECK(matched_route("a.example", "/talk") == "");
+  CHECK(matched_route("a.example", "/TALK/x") == "");
+  CHECK(matched_route("b.example", "/talk/x") == "");
+  CHECK(matched_route("", "/talk/x") == "");
   content.routes[0].host = "[::1]";
-  CHECK(name("[::1]", "/talk/x") == "talk");
-  CHECK(name("[::1]:80", "/talk/x") == "talk");
+  CHECK(matched_route("[::1]", "/talk/x") == "talk");
+  CHECK(matched_route("[::1]:80", "/talk/x") == "talk");
 }
 
-TEST_CASE("a sound table has nothing against it") { CHECK(check(small_table()).empty()); }
+TEST_CASE("a valid table has no violations") { CHECK(check(small_table()).empty()); }
 
-TEST_CASE("each fault of a table is named with its place") {
+TEST_CASE("each violation in a table is reported with its JSON pointer") {
   auto content = small_table();
   SECTION("an unknown service") {
     content.routes[0].targets[1].service = "gone";
     CHECK(pointers(content) == list{"/routes/0/targets/1/service"});
   }
-  SECTION("two routes in one place, whatever the host's case") {
+  SECTION("two routes with the same host, regardless of its case, and the same prefix") {
     content.routes[1].prefix = "/talk/";
     CHECK(pointers(content) == list{"/routes/1/prefix"});
   }
@@ -90,7 +90,7 @@
     content.routes[0].targets[0].share = content.routes[0].targets[1].share = 0;
     CHECK(pointers(content) == list{"/routes/0/targets"});
   }
-  SECTION("a share below 0") {
+  SECTION("a negative share") {
     content.routes[0].targets[0].share = -1;
     CHECK(pointers(content) == list{"/routes/0/targets/0/share"});
   }
@@ -102,7 +102,7 @@
     content.routes[1].deadline = 0;
     CHECK(pointers(content) == list{"/routes/1/deadline"});
   }
-  SECTION("one name twice") {
+  SECTION("duplicate names") {
     content.routes[1].name = "talk";
     content.services[1].name = "chat";
     content.routes[0].targets = content.routes[1].targets = {{"chat", 1}};
