--- a/src/quota/tenant_quotas.cc
+++ b/src/quota/tenant_quotas.cc
@@ -16,14 +16,14 @@
 namespace {
 
 constexpr microseconds exchange_timeout = 200 * millisecond;
-// Counts that change meanwhile share the next exchange with the same peer.
+// Between two exchanges with a peer; counts that change meanwhile are sent together in the next one.
 constexpr microseconds exchange_pause = 40 * millisecond;
-// How long a request waits for its node's counts to be known, where the quota isn't used up.
+// How long a request waits for peers to confirm this node's counts, while the quota is not used up.
 constexpr microseconds max_confirmation_wait = 150 * millisecond;
-// Other nodes' counts are asked for anew, also by a node that admits nothing.
-constexpr microseconds max_knowledge_age = 200 * millisecond;
+// Other nodes' counts are requested again after this time, even by a node that admits nothing.
+constexpr microseconds max_counts_age = 200 * millisecond;
 constexpr microseconds peer_retry_pause = second;
-// Levels are sent in thousandths of a request.
+// Levels are sent as integers, in thousandths of a request.
 constexpr double level_units = 1000;
 constexpr std::int64_t unknown_level = std::numeric_limits<std::int64_t>::max();
 
@@ -44,14 +44,14 @@
 }
 
 struct tenant_quotas::state : std::enable_shared_from_this<tenant_quotas::state> {
-  // What is exchanged with one peer.
-  struct peer_link {
+  // The exchange of counts with one peer.
+  struct peer_exchange {
     std::string address;
-    std::set<std::string> tenants;  // whose counts are to be sent
-    bool running = false;
-    std::int64_t incarnation = 0;              // of the peer, as it was seen
-    std::map<std::string, std::int64_t> seen;  // by tenant: the version of the peer's knowledge
-    microseconds retry_at = 0;                 // after a failure
+    std::set<std::string> tenants;             // whose counts the next exchange sends
+    bool running = false;                      // whether run_exchanges is active for this peer
+    std::int64_t incarnation = 0;              // of the peer, from its last reply
+    std::map<std::string, std::int64_t> seen;  // by tenant: the last version received from the peer
+    microseconds retry_at = 0;                 // earliest time of the next exchange after a failure
   };
 
   rpc::endpoint endpoint;
@@ -61,17 +61,18 @@
   microseconds started;
   std::vector<quota_peer> proxies;
   std::unordered_map<std::string, std::vector<quota_peer>> merging;  // by tenant, chosen among `proxies`
-  std::int64_t agreed_count = 0;
-  std::unordered_map<std::string, limit> limits;  // of the tenants that have a quota
+  std::int64_t agreed_count = 0;                                     // proxies in the agreed configuration
+  std::unordered_map<std::string, limit> limits;                     // of the tenants that have a quota
   std::unordered_map<std::string, tenant_usage> usages;
-  std::unordered_map<std::string, microseconds> asked;    // by tenant: when counts were asked for last
-  std::unordered_map<std::string, microseconds> learned;  // and when an answer came
-  std::map<std::string, peer_link> links;                 // by name
-  std::int64_t version = 0;                               // of what this node knows of others
-  std::vector<runtime::slot<bool>> waiting;               // for the end of any exchange
-
-  state(rpc::endpoint from, std::string name, std::int64_t own_incarnation, tolerance tolerated)
-      : endpoint(std::move(from)),
+  std::unordered_map<std::string, microseconds>
+      requested_at;                                          // by tenant: time of the last request for counts
+  std::unordered_map<std::string, microseconds> learned_at;  // by tenant: time of the last reply
+  std::map<std::string, peer_exchange> links;                // by the peer's name
+  std::int64_t version = 0;                  // increases with each merge of other nodes' counts
+  std::vector<runtime::slot<bool>> waiters;  // notified when any exchange ends
+
+  state(rpc::endpoint own_endpoint, std::string name, std::int64_t own_incarnation, tolerance tolerated)
+      : endpoint(std::move(own_endpoint)),
         node(std::move(name)),
         incarnation(own_incarnation),
         allowed(tolerated),
@@ -83,14 +84,14 @@
   std::int64_t live_count() const { return static_cast<std::int64_t>(proxies.size()); }
   std::int64_t proxy_count() const { return std::max(live_count(), agreed_count); }
   void exchange(const std::string& tenant);
-  void exchange_if_old(const std::string& tenant);
+  void exchange_if_stale(const std::string& tenant);
   bool is_fresh(const std::string& tenant) const;
-  void add_to_link(const quota_peer& peer, const std::string& tenant);
-  task<> run_link(std::string name);
+  void schedule_exchange(const quota_peer& peer, const std::string& tenant);
+  task<> run_exchanges(std::string name);
   task<bool> exchange_once(std::string name, std::string address);
   void merge(const std::vector<rpc::tenant_count>& counts);
-  void take_levels(const rpc::quota_reply& reply, const std::vector<rpc::tenant_count>& sent);
-  void wake_waiting();
+  void apply_levels(const rpc::quota_reply& reply, const std::vector<rpc::tenant_count>& sent);
+  void wake_waiters();
   task<> wait_for_exchange(microseconds until);
   rpc::quota_reply serve(const rpc::quota_request& request);
 };
@@ -98,27 +99,27 @@
 tenant_usage& tenant_quotas::state::usage_of(const std::string& tenant) {
   auto found = usages.find(tenant);
   if (found != usages.end()) return found->second;
-  auto& made =
+  auto& usage =
       usages.emplace(tenant, tenant_usage(tenant, node, incarnation, allowed, started)).first->second;
   auto limited = limits.find(tenant);
-  if (limited != limits.end()) made.set_limit(limited->second, now());
-  return made;
+  if (limited != limits.end()) usage.set_limit(limited->second, now());
+  return usage;
 }
 
 bool tenant_quotas::state::is_fresh(const std::string& tenant) const {
   if (live_count() * 2 <= agreed_count) return false;
-  auto last = learned.find(tenant);
-  return last != learned.end() && now() - last->second <= max_knowledge_age;
+  auto last = learned_at.find(tenant);
+  return last != learned_at.end() && now() - last->second <= max_counts_age;
 }
 
-void tenant_quotas::state::add_to_link(const quota_peer& peer, const std::string& tenant) {
+void tenant_quotas::state::schedule_exchange(const quota_peer& peer, const std::string& tenant) {
   auto& link = links[peer.name];
   link.address = peer.address;
   if (now() < link.retry_at) return;
   link.tenants.insert(tenant);
   if (link.running) return;
   link.running = true;
-  endpoint.runtime().spawn(run_link(peer.name));
+  endpoint.runtime().spawn(run_exchanges(peer.name));
 }
 
 const std::vector<quota_peer>& tenant_quotas::state::merging_peers_of(const std::string& tenant) {
@@ -128,31 +129,31 @@
 }
 
 void tenant_quotas::state::exchange(const std::string& tenant) {
-  asked[tenant] = now();
+  requested_at[tenant] = now();
   for (auto& peer : merging_peers_of(tenant)) {
     if (peer.name != node) {
-      add_to_link(peer, tenant);
+      schedule_exchange(peer, tenant);
       continue;
     }
-    // Whoever asks this node learns its counts.
+    // This node merges the tenant's counts itself, so that every node that exchanges with it gets them.
     auto& usage = usage_of(tenant);
     usage.confirm(usage.own_count(now()));
-    learned[tenant] = now();
+    learned_at[tenant] = now();
   }
 }
 
-void tenant_quotas::state::exchange_if_old(const std::string& tenant) {
-  auto last = asked.find(tenant);
-  if (last == asked.end() || now() - last->second > max_knowledge_age) exchange(tenant);
+void tenant_quotas::state::exchange_if_stale(const std::string& tenant) {
+  auto last = requested_at.find(tenant);
+  if (last == requested_at.end() || now() - last->second > max_counts_age) exchange(tenant);
 }
 
-task<> tenant_quotas::state::run_link(std::string name) {
+task<> tenant_quotas::state::run_exchanges(std::string name) {
   auto self = shared_from_this();
   bool reached = true;
   while (reached && !self->links[name].tenants.empty()) {
     auto address = self->links[name].address;
     reached = co_await self->exchange_once(name, address);
-    self->wake_waiting();
+    self->wake_waiters();
     co_await self->endpoint.runtime().sleep(exchange_pause);
   }
   auto& link = self->links[name];
@@ -179,11 +180,11 @@
                                       : "herontally_quota_exchanges_failed_total");
   if (!reply) co_return false;
   self->merge(reply->counts);
-  self->take_levels(*reply, sent);
-  auto& answered = self->links[name];
-  if (answered.incarnation != reply->incarnation) answered.seen.clear();
-  answered.incarnation = reply->incarnation;
-  for (auto& count : sent) answered.seen[count.tenant] = reply->version;
+  self->apply_levels(*reply, sent);
+  auto& updated = self->links[name];
+  if (updated.incarnation != reply->incarnation) updated.seen.clear();
+  updated.incarnation = reply->incarnation;
+  for (auto& count : sent) updated.seen[count.tenant] = reply->version;
   co_return true;
 }
 
@@ -192,19 +193,19 @@
   for (auto& count : counts) usage_of(count.tenant).merge(count, version, now());
 }
 
-void tenant_quotas::state::take_levels(const rpc::quota_reply& reply,
-                                       const std::vector<rpc::tenant_count>& sent) {
+void tenant_quotas::state::apply_levels(const rpc::quota_reply& reply,
+                                        const std::vector<rpc::tenant_count>& sent) {
   for (std::size_t position = 0; position < sent.size(); ++position) {
     auto& usage = usage_of(sent[position].tenant);
     usage.confirm(sent[position]);
-    learned[sent[position].tenant] = now();
+    learned_at[sent[position].tenant] = now();
     if (position >= reply.levels.size() || reply.levels[position] == unknown_level) continue;
-    usage.learn_level(static_cast<double>(reply.levels[position]) / level_units, sent[position], now());
+    usage.apply_peer_level(static_cast<double>(reply.levels[position]) / level_units, sent[position], now());
   }
 }
 
-void tenant_quotas::state::wake_waiting() {
-  for (auto& waiter : std::exchange(waiting, {})) waiter.set(true);
+void tenant_quotas::state::wake_waiters() {
+  for (auto& waiter : std::exchange(waiters, {})) waiter.set(true);
 }
 
 task<> tenant_quotas::state::wait_for_exchange(microseconds until) {
@@ -213,25 +214,25 @@
   auto left = until - runtime.now();
   if (left <= 0) co_return;
   runtime::slot<bool> notifier(runtime);
-  self->waiting.push_back(notifier);
+  self->waiters.push_back(notifier);
   auto timer = runtime.after(left, [notifier] { notifier.set(false); });
   co_await notifier.wait();
   runtime.cancel(timer);
-  std::erase_if(self->waiting, [](auto& waiter) { return waiter.is_set(); });
+  std::erase_if(self->waiters, [](auto& waiter) { return waiter.is_set(); });
 }
 
 rpc::quota_reply tenant_quotas::state::serve(const rpc::quota_request& request) {
-  bool same_life = request.seen_by == incarnation && request.seen.size() == request.counts.size();
+  bool same_incarnation = request.seen_by == incarnation && request.seen.size() == request.counts.size();
   merge(request.counts);
   rpc::quota_reply reply;
   reply.incarnation = incarnation;
   reply.version = version;
   for (std::size_t position = 0; position < request.counts.size(); ++position) {
-    std::int64_t seen = same_life ? request.seen[position] : 0;
+    std::int64_t seen = same_incarnation ? request.seen[position] : 0;
     auto& usage = usage_of(request.counts[position].tenant);
-    usage.note_up_to_date(now());
+    usage.mark_up_to_date(now());
     for (auto& each : usage.counts_for(request.node, seen, now())) reply.counts.push_back(std::move(each));
-    // A node that has just started has merged too little to tell.
+    // A node that started within the last window hasn't merged enough counts to know the level.
     bool settled = now() - started >= allowed.window;
     auto level = static_cast<std::int64_t>(usage.level(now()) * level_units);
     reply.levels.push_back(settled ? level : unknown_level);
@@ -274,21 +275,21 @@
   auto self = state_;
   if (!self->limits.contains(tenant)) co_return admission{};
   auto until = self->now() + max_confirmation_wait;
-  self->usage_of(tenant).offer(self->now());
-  self->exchange_if_old(tenant);
+  self->usage_of(tenant).count_offered(self->now());
+  self->exchange_if_stale(tenant);
   while (true) {
     auto& usage = self->usage_of(tenant);
-    auto found = usage.admit(self->proxy_count(), self->is_fresh(tenant), self->now());
-    if (found == verdict::granted) {
+    auto decision = usage.admit(self->proxy_count(), self->is_fresh(tenant), self->now());
+    if (decision == verdict::granted) {
       self->exchange(tenant);
       co_return admission{};
     }
-    bool over = found == verdict::exceeded || self->now() >= until;
-    if (over) {
-      self->endpoint.logger().count(found == verdict::exceeded ? "herontally_quota_exceeded_total"
-                                                               : "herontally_quota_unconfirmed_total");
-      constexpr microseconds least_pause = 50 * millisecond;
-      auto pause = std::max(least_pause, usage.refill_time(self->now()));
+    bool rejected = decision == verdict::exceeded || self->now() >= until;
+    if (rejected) {
+      self->endpoint.logger().count(decision == verdict::exceeded ? "herontally_quota_exceeded_total"
+                                                                  : "herontally_quota_unconfirmed_total");
+      constexpr microseconds min_retry_pause = 50 * millisecond;
+      auto pause = std::max(min_retry_pause, usage.refill_time(self->now()));
       co_return admission{false, pause / millisecond};
     }
     self->exchange(tenant);
--- a/tests/quota_test.cc
+++ b/tests/quota_test.cc
@@ -1,4 +1,4 @@
-// Tenants' quotas over many proxies: what each may admit, and how far all of them together exceed a quota.
+// Tenants' quotas over many proxies: what each node may admit, and by how much all together exceed a quota.
 #include <catch2/catch.hpp>
 #include <deque>
 
@@ -14,33 +14,33 @@
 
 namespace {
 
-constexpr quota::tolerance allowed{5 * second, 0.1, 20};
+constexpr quota::tolerance default_tolerance{5 * second, 0.1, 20};
 
-// What the rule grants within one window.
-double most_in_window(quota::limit limit) {
-  double window = static_cast<double>(allowed.window) / second;
-  return (limit.per_second * window + limit.burst) * (1 + allowed.excess) + allowed.slack;
+// The most requests that may be granted within any window.
+double max_grants_in_window(quota::limit limit) {
+  double window = static_cast<double>(default_tolerance.window) / second;
+  return (limit.per_second * window + limit.burst) * (1 + default_tolerance.excess) + default_tolerance.slack;
 }
 
-// Without an allowance beyond the quota, so that levels are what the quota says.
-constexpr quota::tolerance exact{5 * second, 0, 0};
+// No excess, so that the capacity of the bucket is exactly the burst.
+constexpr quota::tolerance zero_tolerance{5 * second, 0, 0};
 
 tenant_usage usage_of(const std::string& node, quota::limit limit, microseconds now) {
-  tenant_usage made("shop", node, 1, exact, 0);
-  made.set_limit(limit, now);
-  return made;
+  tenant_usage usage("shop", node, 1, zero_tolerance, 0);
+  usage.set_limit(limit, now);
+  return usage;
 }
 
-// Proxies in one simulated world, with requests of one tenant that come to all of them at random.
-struct proxies {
+// Simulated proxies that receive requests of one tenant, each at a random proxy.
+struct proxy_fleet {
   simulator::world world;
   std::vector<std::string> names;
   std::map<std::string, quota::tenant_quotas> quotas;
-  std::deque<microseconds> granted;  // moments within the last window
+  std::deque<microseconds> granted;  // times of the grants within the last window
   std::int64_t grants = 0, rejections = 0;
-  std::size_t most = 0;  // granted within any window
+  std::size_t max_in_window = 0;  // maximum number of grants within a window
 
-  proxies(std::uint64_t seed, int count) : world(seed) {
+  proxy_fleet(std::uint64_t seed, int count) : world(seed) {
     for (int number = 1; number <= count; ++number) boot("p" + std::to_string(number));
     connect(names);
   }
@@ -57,9 +57,9 @@
     auto runtime = world.runtime_of(name);
     rpc::endpoint endpoint(runtime, name, logging::logger(name, [](auto&, auto&) {}));
     endpoint.listen(address(name));
-    quota::tenant_quotas made(endpoint, name, runtime.wall() + 1, allowed);
-    made.start();
-    quotas.insert_or_assign(name, made);
+    quota::tenant_quotas node_quotas(endpoint, name, runtime.wall() + 1, default_tolerance);
+    node_quotas.start();
+    quotas.insert_or_assign(name, node_quotas);
   }
   void connect(const std::vector<std::string>& live, std::int64_t agreed = 0) {
     std::vector<quota::quota_peer> peers;
@@ -67,30 +67,30 @@
       peers.push_back({name, address(name), "z" + std::to_string(std::stoi(name.substr(1)) % 3)});
     for (auto& name : live) quotas.at(name).set_peers(peers, agreed);
   }
-  void limit_to(quota::limit limit) {
+  void set_limit(quota::limit limit) {
     routing::tenant tenant{"shop", {}, 0, limit.per_second, limit.burst};
     for (auto& [name, each] : quotas) each.set_tenants({tenant});
   }
-  void note_grant() {
+  void record_grant() {
     ++grants;
     granted.push_back(world.now());
-    while (granted.front() <= world.now() - allowed.window) granted.pop_front();
-    most = std::max(most, granted.size());
+    while (granted.front() <= world.now() - default_tolerance.window) granted.pop_front();
+    max_in_window = std::max(max_in_window, granted.size());
   }
-  static runtime::task<> ask(proxies* here, quota::tenant_quotas quotas) {
+  static runtime::task<> request_admission(proxy_fleet* fleet, quota::tenant_quotas quotas) {
     auto admission = co_await quotas.admit("shop");
     if (admission.granted)
-      here->note_grant();
+      fleet->record_grant();
     else
-      ++here->rejections;
+      ++fleet->rejections;
   }
-  // Requests that arrive at drawn nodes, evenly in time on average.
-  void offer(double per_second, microseconds span) {
+  // Sends requests to random nodes with exponentially distributed pauses; none to nodes that are down.
+  void send_requests(double per_second, microseconds span) {
     auto until = world.now() + span;
     std::exponential_distribution<double> pause(per_second);
     while (world.now() < until) {
       auto& name = names[world.draw(names.size())];
-      if (world.find(name).up) world.runtime_of(name).spawn(ask(this, quotas.at(name)));
+      if (world.find(name).up) world.runtime_of(name).spawn(request_admission(this, quotas.at(name)));
       world.run_for(1 + static_cast<microseconds>(pause(world.random()) * second));
     }
   }
@@ -98,11 +98,11 @@
 
 }  // namespace
 
-TEST_CASE("one node alone grants its bucket and refills it") {
+TEST_CASE("a single node grants the requests in its bucket and refills it") {
   auto usage = usage_of("a", {10, 5}, 10 * second);
   int granted = 0;
   for (int number = 0; number < 100; ++number) {
-    usage.offer(10 * second);
+    usage.count_offered(10 * second);
     auto sent = usage.own_count(10 * second);
     usage.confirm(sent);
     granted += usage.admit(1, true, 10 * second) == verdict::granted ? 1 : 0;
@@ -113,18 +113,18 @@
   CHECK(usage.level(60 * second) == Approx(5));
 }
 
-TEST_CASE("a bucket is empty at its node's start, so that a restart grants no second burst") {
-  tenant_usage usage("shop", "a", 2, exact, 100 * second);
+TEST_CASE("the bucket is empty when its node starts, so that a restart grants no second burst") {
+  tenant_usage usage("shop", "a", 2, zero_tolerance, 100 * second);
   usage.set_limit({10, 50}, 100 * second);
   CHECK(usage.level(100 * second) == Approx(0));
   CHECK(usage.level(101 * second) == Approx(10));
 }
 
-TEST_CASE("a node runs ahead by its share alone, until the others know") {
+TEST_CASE("a node's unconfirmed requests are limited to its share until a peer confirms them") {
   auto usage = usage_of("a", {10, 100}, 20 * second);
   rpc::tenant_count other{"shop", "b", 1, 0, 0, 0, 99};
   usage.merge(other, 1, 20 * second);
-  usage.offer(20 * second);
+  usage.count_offered(20 * second);
   int granted = 0;
   while (usage.admit(50, true, 20 * second) == verdict::granted) ++granted;
   CHECK(granted >= 1);
@@ -134,7 +134,7 @@
   CHECK(usage.admit(50, true, 20 * second) == verdict::granted);
 }
 
-TEST_CASE("merging is by maximum: repeated, old and reordered counts change nothing") {
+TEST_CASE("counts are merged by maximum: repeated, old and reordered counts change nothing") {
   auto usage = usage_of("a", {1, 100}, 200 * second);
   usage.merge({"shop", "c", 1, 5, 0, 5, 5}, 1, 200 * second);
   CHECK(usage.level(200 * second) == Approx(100));
@@ -146,17 +146,17 @@
   usage.merge(earlier, 2, 200 * second);
   usage.merge(later, 3, 200 * second);
   CHECK(usage.level(200 * second) == Approx(level));
-  rpc::tenant_count former{"shop", "b", 4, 90, 0, 90, 90};
-  usage.merge(former, 4, 200 * second);
+  rpc::tenant_count previous_incarnation{"shop", "b", 4, 90, 0, 90, 90};
+  usage.merge(previous_incarnation, 4, 200 * second);
   CHECK(usage.level(200 * second) == Approx(level));
   rpc::tenant_count restarted{"shop", "b", 6, 2, 0, 2, 2};
   usage.merge(restarted, 5, 200 * second);
   CHECK(usage.level(200 * second) == Approx(level - 2));
 }
 
-TEST_CASE("what ran nowhere is given back") {
+TEST_CASE("a request that no engine has run is returned to the quota") {
   auto usage = usage_of("a", {1, 10}, 200 * second);
-  usage.offer(200 * second);
+  usage.count_offered(200 * second);
   REQUIRE(usage.admit(1, true, 200 * second) == verdict::granted);
   CHECK(usage.level(200 * second) == Approx(9));
   usage.give_back(200 * second);
@@ -166,13 +166,13 @@
   CHECK(count.recent == 0);
 }
 
-TEST_CASE("a lower limit binds at once") {
+TEST_CASE("a lower limit takes effect immediately") {
   auto usage = usage_of("a", {100, 100}, 200 * second);
   usage.set_limit({1, 2}, 200 * second);
   CHECK(usage.level(200 * second) == Approx(2));
 }
 
-TEST_CASE("tenants' counts are merged by two live proxies, which all nodes choose alike") {
+TEST_CASE("all nodes choose the same two live proxies to merge a tenant's counts") {
   std::vector<quota::quota_peer> all{{"a", "1", "x"}, {"b", "2", "x"}, {"c", "3", "x"}, {"d", "4", "x"}};
   auto chosen = quota::merging_peers("shop", all);
   REQUIRE(chosen.size() == 2);
@@ -192,81 +192,81 @@
 TEST_CASE("QUOTA of issue 31: a hot tenant stays within its quota over 47, 64 and 255 nodes") {
   int count = GENERATE(47, 64, 255);
   quota::limit limit = GENERATE(quota::limit{48, 48}, quota::limit{3.2, 3.2});
-  proxies here(static_cast<std::uint64_t>(count), count);
-  here.limit_to(limit);
-  here.world.run_for(6 * second);
+  proxy_fleet fleet(static_cast<std::uint64_t>(count), count);
+  fleet.set_limit(limit);
+  fleet.world.run_for(6 * second);
   double usual = limit.per_second / 1.6;
-  here.offer(usual, 12 * second);
-  CAPTURE(count, limit.per_second, here.grants, here.rejections);
-  // A tenant below its quota is refused next to nothing.
-  CHECK(static_cast<double>(here.rejections) <= 1 + 0.01 * static_cast<double>(here.grants));
-  here.offer(usual * 7.5, 12 * second);
-  CHECK(static_cast<double>(here.most) <= most_in_window(limit));
-  // And it gets what it is granted.
-  auto granted_before = here.grants;
-  here.offer(usual * 7.5, 15 * second);
-  CHECK(static_cast<double>(here.grants - granted_before) >= 0.75 * 15 * limit.per_second);
+  fleet.send_requests(usual, 12 * second);
+  CAPTURE(count, limit.per_second, fleet.grants, fleet.rejections);
+  // Below its quota a tenant is refused at most 1 % of the requests and one more.
+  CHECK(static_cast<double>(fleet.rejections) <= 1 + 0.01 * static_cast<double>(fleet.grants));
+  fleet.send_requests(usual * 7.5, 12 * second);
+  CHECK(static_cast<double>(fleet.max_in_window) <= max_grants_in_window(limit));
+  // At demand far above the quota, at least three quarters of the quota are granted.
+  auto granted_before = fleet.grants;
+  fleet.send_requests(usual * 7.5, 15 * second);
+  CHECK(static_cast<double>(fleet.grants - granted_before) >= 0.75 * 15 * limit.per_second);
 }
 
-TEST_CASE("a node whose knowledge is old asks before it takes what is left beyond its share") {
+TEST_CASE("a node with old counts of others needs confirmation for requests beyond its share") {
   auto usage = usage_of("a", {10, 100}, 20 * second);
   rpc::tenant_count other{"shop", "b", 1, 0, 0, 0, 10000};
   usage.merge(other, 1, 20 * second);
-  usage.offer(20 * second);
+  usage.count_offered(20 * second);
   CHECK(usage.admit(255, false, 20 * second) == verdict::unconfirmed);
   CHECK(usage.admit(255, true, 20 * second) == verdict::granted);
 }
 
-TEST_CASE("nodes without the merging proxies keep to their share") {
-  proxies here(7, 20);
+TEST_CASE("nodes that can't reach the merging proxies keep to their share") {
+  proxy_fleet fleet(7, 20);
   quota::limit limit{40, 40};
-  here.limit_to(limit);
-  here.world.run_for(6 * second);
-  here.offer(25, 6 * second);
+  fleet.set_limit(limit);
+  fleet.world.run_for(6 * second);
+  fleet.send_requests(25, 6 * second);
   std::vector<quota::quota_peer> peers;
-  for (auto& name : here.names)
-    peers.push_back({name, proxies::address(name), "z" + std::to_string(std::stoi(name.substr(1)) % 3)});
+  for (auto& name : fleet.names)
+    peers.push_back({name, proxy_fleet::address(name), "z" + std::to_string(std::stoi(name.substr(1)) % 3)});
   for (auto& peer : quota::merging_peers("shop", peers))
-    here.world.kill(peer.name, simulator::disk_loss::none, true);
-  here.most = 0;
-  here.offer(200, 8 * second);
-  CHECK(static_cast<double>(here.most) <= most_in_window(limit));
-  CHECK(here.grants > 0);
+    fleet.world.kill(peer.name, simulator::disk_loss::none, true);
+  fleet.max_in_window = 0;
+  fleet.send_requests(200, 8 * second);
+  CHECK(static_cast<double>(fleet.max_in_window) <= max_grants_in_window(limit));
+  CHECK(fleet.grants > 0);
 }
 
 TEST_CASE("the smaller side of a partition keeps to its equal share") {
-  proxies here(9, 20);
+  proxy_fleet fleet(9, 20);
   quota::limit limit{40, 40};
-  here.limit_to(limit);
-  here.world.run_for(6 * second);
-  here.offer(25, 6 * second);
-  std::vector<std::string> left(here.names.begin(), here.names.begin() + 8);
-  std::vector<std::string> right(here.names.begin() + 8, here.names.end());
+  fleet.set_limit(limit);
+  fleet.world.run_for(6 * second);
+  fleet.send_requests(25, 6 * second);
+  std::vector<std::string> left(fleet.names.begin(), fleet.names.begin() + 8);
+  std::vector<std::string> right(fleet.names.begin() + 8, fleet.names.end());
   for (auto& one : left)
     for (auto& other : right) {
-      here.world.cut(one, other);
-      here.world.cut(other, one);
+      fleet.world.cut(one, other);
+      fleet.world.cut(other, one);
     }
-  here.offer(200, 2 * second);
-  here.connect(left, 20);
-  here.connect(right, 20);
-  here.most = 0;
-  here.offer(200, 8 * second);
-  CHECK(static_cast<double>(here.most) <= most_in_window(limit));
+  fleet.send_requests(200, 2 * second);
+  fleet.connect(left, 20);
+  fleet.connect(right, 20);
+  fleet.max_in_window = 0;
+  fleet.send_requests(200, 8 * second);
+  CHECK(static_cast<double>(fleet.max_in_window) <= max_grants_in_window(limit));
 }
 
 TEST_CASE("a restart of all proxies grants no second burst") {
-  proxies here(8, 20);
+  proxy_fleet fleet(8, 20);
   quota::limit limit{40, 200};
-  here.limit_to(limit);
-  here.world.run_for(6 * second);
-  here.offer(300, 3 * second);
-  for (auto& name : here.names) here.world.kill(name, simulator::disk_loss::none);
-  here.world.run_for(second);
-  auto names = here.names;
-  for (auto& name : names) here.boot(name);
-  here.connect(names);
-  here.limit_to(limit);
-  here.offer(300, 6 * second);
-  CHECK(static_cast<double>(here.most) <= most_in_window(limit));
+  fleet.set_limit(limit);
+  fleet.world.run_for(6 * second);
+  fleet.send_requests(300, 3 * second);
+  for (auto& name : fleet.names) fleet.world.kill(name, simulator::disk_loss::none);
+  fleet.world.run_for(second);
+  auto names = fleet.names;
+  for (auto& name : names) fleet.boot(name);
+  fleet.connect(names);
+  fleet.set_limit(limit);
+  fleet.send_requests(300, 6 * second);
+  CHECK(static_cast<double>(fleet.max_in_window) <= max_grants_in_window(limit));
 }
