--- a/src/interning/symbol_table.cc
+++ b/src/interning/symbol_table.cc
@@ -8,13 +8,13 @@
 
 namespace herontally::interning {
 
-namespace index_of = boost::multi_index;
-using container = index_of::multi_index_container<
-    std::string, index_of::indexed_by<index_of::random_access<>,
-                                      index_of::hashed_unique<index_of::identity<std::string>>>>;
+namespace multi_index = boost::multi_index;
+using name_container = multi_index::multi_index_container<
+    std::string, multi_index::indexed_by<multi_index::random_access<>,
+                                         multi_index::hashed_unique<multi_index::identity<std::string>>>>;
 
 struct symbol_table::state {
-  container names;
+  name_container names;
 };
 
 symbol_table::symbol_table() : state_(std::make_unique<state>()) {}
@@ -23,8 +23,8 @@
 symbol_table& symbol_table::operator=(symbol_table&&) noexcept = default;
 
 symbol symbol_table::intern(const std::string& name) {
-  auto placed = state_->names.push_back(name);
-  return static_cast<symbol>(placed.first - state_->names.begin());
+  auto inserted = state_->names.push_back(name);
+  return static_cast<symbol>(inserted.first - state_->names.begin());
 }
 
 std::optional<symbol> symbol_table::find(const std::string& name) const {
@@ -34,13 +34,14 @@
   return static_cast<symbol>(state_->names.project<0>(found) - state_->names.begin());
 }
 
-const std::string& symbol_table::name_of(symbol position) const { return state_->names[position]; }
+const std::string& symbol_table::name_of(symbol index) const { return state_->names[index]; }
 std::size_t symbol_table::size() const { return state_->names.size(); }
 
 bool is_plain_name(const std::string& name) {
   if (name.empty() || name.size() > 120) return false;
-  for (unsigned char letter : name)
-    if (!std::isalnum(letter) && letter != '-' && letter != '_' && letter != '.' && letter != ':')
+  for (unsigned char character : name)
+    if (!std::isalnum(character) && character != '-' && character != '_' && character != '.' &&
+        character != ':')
       return false;
   return true;
 }
