--- a/src/ledger/call_ledger.cc
+++ b/src/ledger/call_ledger.cc
@@ -9,59 +9,60 @@
 using runtime::microseconds;
 using runtime::task;
 
-std::string to_text(const call_record& content) { return dump(nlohmann::json(content)); }
+std::string to_text(const call_record& record) { return dump(nlohmann::json(record)); }
 
 std::optional<call_record> call_record_from_text(const std::optional<std::string>& text) {
   if (!text) return std::nullopt;
   auto document = serialization::parse_bounded_object(*text, serialization::max_record_depth);
   if (document) {
-    auto found = parse<call_record>(dump(with_defaults(*document, {{"keep_until", 0}})));
-    if (found && found->state != call_state::unrecognized) return found;
+    auto record = parse_record<call_record>(dump(with_defaults(*document, {{"keep_until", 0}})));
+    if (record && record->state != call_state::unrecognized) return record;
   }
-  // There is a record, whatever it says: the call may have run.
+  // A record exists but can't be interpreted, so the call may have run.
   call_record unreadable;
   unreadable.readable = false;
   return unreadable;
 }
 
 std::string call_record_key(const std::string& partner, const std::string& route, const std::string& key) {
-  constexpr std::size_t digest_letters = 40;
-  // The client's key may hold any bytes and any length; its digest doesn't.
-  return "r/" + partner + "/" + route + "/" + digest_of(key).substr(0, digest_letters);
+  constexpr std::size_t digest_length = 40;
+  // The client's key may have any length and contain any bytes; its digest is bounded and plain ASCII.
+  return "r/" + partner + "/" + route + "/" + digest_of(key).substr(0, digest_length);
 }
 
-// The record that begins the call, or nothing and what stands against it.
-static std::optional<call_record> decide_begin(const std::optional<call_record>& now,
-                                               const call_record& first, call_result& result) {
-  if (now && now->body_digest != first.body_digest) {
+// Returns the record that starts the call and sets `result`. Returns nullopt if nothing is to be written;
+// `result` then says why.
+static std::optional<call_record> decide_begin(const std::optional<call_record>& current,
+                                               const call_record& initial, call_result& result) {
+  if (current && current->body_digest != initial.body_digest) {
     result.status = call_status::mismatch;
     return std::nullopt;
   }
-  // An attempt that was agreed never to run leaves the key free for the next one.
-  bool own = now && now->request_id == first.request_id;
-  bool free = !now || now->state == call_state::not_run;
-  if (!free || own) {
-    // This request's own attempt that was ended as not run, by somebody else, must not come back.
-    bool resumed = !free && (own || broken("started"));
+  // After an attempt that is agreed not to have run, the key may be used by the next attempt.
+  bool is_owner = current && current->request_id == initial.request_id;
+  bool available = !current || current->state == call_state::not_run;
+  if (!available || is_owner) {
+    // An attempt of this request that another node has ended as not run must not be resumed.
+    bool resumed = !available && (is_owner || broken("started"));
     result.status = resumed ? call_status::begun : call_status::found;
-    result.record = *now;
+    result.record = *current;
     return std::nullopt;
   }
-  call_record next = first;
-  next.attempt = now ? now->attempt + 1 : 1;
+  call_record next = initial;
+  next.attempt = current ? current->attempt + 1 : 1;
   result.status = call_status::begun;
   result.record = next;
   return next;
 }
 
-task<call_result> call_ledger::begin(std::string key, call_record first, microseconds deadline) {
+task<call_result> call_ledger::begin(std::string key, call_record initial, microseconds deadline) {
   auto result = std::make_shared<call_result>();
-  auto mutate = [first, result](const std::optional<std::string>& text) -> std::optional<std::string> {
-    auto next = decide_begin(call_record_from_text(text), first, *result);
+  auto mutate = [initial, result](const std::optional<std::string>& text) -> std::optional<std::string> {
+    auto next = decide_begin(call_record_from_text(text), initial, *result);
     if (!next) return std::nullopt;
     return to_text(*next);
   };
-  auto changed = co_await stores_.change(std::move(key), mutate, deadline);
+  auto changed = co_await proposer_.change(std::move(key), mutate, deadline);
   call_result out = *result;
   if (changed.status == change_status::unknown) out.status = call_status::unknown;
   if (changed.status == change_status::unreachable) out.status = call_status::unreachable;
@@ -69,22 +70,24 @@
   co_return out;
 }
 
-task<bool> call_ledger::finish(std::string key, call_record last, microseconds deadline) {
+task<bool> call_ledger::finish(std::string key, call_record final_record, microseconds deadline) {
   auto finished = std::make_shared<bool>(false);
-  auto mutate = [last, finished](const std::optional<std::string>& text) -> std::optional<std::string> {
-    auto now = call_record_from_text(text);
-    bool own = now && now->request_id == last.request_id && now->attempt == last.attempt;
-    *finished = own && now->state == last.state;
-    if (!own || now->state != call_state::started) return std::nullopt;
+  auto mutate = [final_record,
+                 finished](const std::optional<std::string>& text) -> std::optional<std::string> {
+    auto current = call_record_from_text(text);
+    bool is_owner =
+        current && current->request_id == final_record.request_id && current->attempt == final_record.attempt;
+    *finished = is_owner && current->state == final_record.state;
+    if (!is_owner || current->state != call_state::started) return std::nullopt;
     *finished = true;
-    return to_text(last);
+    return to_text(final_record);
   };
-  auto changed = co_await stores_.change(std::move(key), mutate, deadline, true);
+  auto changed = co_await proposer_.change(std::move(key), mutate, deadline, true);
   co_return changed.known() && *finished;
 }
 
 task<call_lookup> call_ledger::read(std::string key, microseconds deadline) {
-  auto result = co_await stores_.read(std::move(key), deadline);
+  auto result = co_await proposer_.read(std::move(key), deadline);
   co_return call_lookup{result.known(), call_record_from_text(result.value)};
 }
 
--- a/src/ledger/call_ledger.h
+++ b/src/ledger/call_ledger.h
@@ -1,8 +1,12 @@
-// The ledger of calls that may run at most once, by the client's idempotency key. Every answer rests on a
-// majority of the storage machines' synced disks.
+// Runs calls at most once, using a replicated idempotency record for each client key. Every result is agreed
+// by a majority of the storage nodes and synced to their disks. The ledger does not send calls to engines;
+// proxies do so according to its results.
 //
-// Invariants: an engine hears of a call only after `started` is agreed for this attempt; "not run" is
-// promised only once `not_run` is agreed, which a proxy that was frozen meanwhile can't undo.
+// Invariants:
+// - A call is sent to an engine only after `started` is agreed for this attempt.
+// - A client is told that a call has not run only after `not_run` is agreed. A proxy that was suspended
+//   meanwhile can't undo that when it resumes, because it finds its attempt no longer in the state
+//   `started`.
 #pragma once
 #include "consensus/proposer.h"
 #include "ledger/text.h"
@@ -11,11 +15,11 @@
 namespace herontally::ledger {
 
 enum class call_state {
-  unrecognized,  // a word that this version doesn't know: it may have run
-  started,       // it may have run
-  done,          // it ran, with this answer
-  not_run,       // this attempt never runs
-  expired,       // it ran, and its answer's retention is over
+  unrecognized,  // a state name that this version doesn't know; the call may have run
+  started,       // the call may have run
+  done,          // the call ran; the record holds its response
+  not_run,       // this attempt has not run and never will
+  expired,       // the call ran, and the retention of its response has ended
 };
 NLOHMANN_JSON_SERIALIZE_ENUM(call_state, {{call_state::unrecognized, nullptr},
                                           {call_state::started, "started"},
@@ -23,12 +27,13 @@
                                           {call_state::not_run, "not-run"},
                                           {call_state::expired, "gone"}})
 
-// The idempotency record of a call. Times are of the wall clock, in microseconds.
+// The idempotency record of a call. `started` and `keep_until` are wall-clock times in microseconds;
+// `attempt` counts attempts from 1; `status` is the HTTP status of the response.
 struct call_record {
   call_state state = call_state::started;
   std::string request_id, body_digest, engine, content_type, answer;
   std::int64_t attempt = 0, status = 0, started = 0, keep_until = 0;
-  bool readable = true;  // false: there is a record that this version can't read; the call may have run
+  bool readable = true;  // false if a record exists that this version can't read; the call may have run
 
   static constexpr auto json_fields() {
     using serialization::json_field;
@@ -40,39 +45,45 @@
         json_field(&call_record::started, "started"), json_field(&call_record::keep_until, "keep_until"));
   }
 };
-std::string to_text(const call_record& content);
-// Nothing if there is no record; one that isn't `readable` if the text can't be read.
+std::string to_text(const call_record& record);
+// Returns nullopt if there is no record, and a record with `readable == false` if the text can't be parsed.
 std::optional<call_record> call_record_from_text(const std::optional<std::string>& text);
+// Returns the register key of a call's record. `key` is the client's idempotency key.
 std::string call_record_key(const std::string& partner, const std::string& route, const std::string& key);
 
 enum class call_status {
-  begun,        // durable: an engine may hear of the call
-  found,        // the key was used before, as the record tells
-  mismatch,     // the key was used with another body
-  unreachable,  // no majority; certainly not begun
-  disk_full,    // no capacity; certainly not begun
-  unknown,      // no majority; it may be begun, but nothing was run
+  begun,        // the start is durable; the call may be sent to an engine
+  found,        // the key was used before; `record` holds the earlier call
+  mismatch,     // the key was used with a different request body
+  unreachable,  // no majority; the start was not written
+  disk_full,    // no disk capacity for new calls; the start was not written
+  unknown,      // no majority; the start may have been written, but the call was not run
 };
 struct call_result {
   call_status status = call_status::unreachable;
   call_record record;
 };
 struct call_lookup {
-  bool read = false;  // false: no majority could be asked
+  bool read = false;  // false if no majority answered before the deadline
   std::optional<call_record> record;
 };
 
+// Deadlines are times of the runtime's steady clock, in microseconds.
 class call_ledger {
  public:
-  explicit call_ledger(consensus::proposer stores) : stores_(std::move(stores)) {}
-  runtime::task<call_result> begin(std::string key, call_record first, runtime::microseconds deadline);
-  // Moves the record of this request's attempt on; false when it no longer is this attempt's, or can't be
-  // settled.
-  runtime::task<bool> finish(std::string key, call_record last, runtime::microseconds deadline);
+  explicit call_ledger(consensus::proposer proposer) : proposer_(std::move(proposer)) {}
+  // Writes the record that starts the call, unless the key is already in use. Must complete with `begun`
+  // before the call is sent to an engine.
+  runtime::task<call_result> begin(std::string key, call_record initial, runtime::microseconds deadline);
+  // Replaces the `started` record of this request's attempt with its final state. Returns false if the record
+  // belongs to another attempt by now, or if no majority confirmed the write. May use the disk capacity
+  // reserved for completing started calls.
+  runtime::task<bool> finish(std::string key, call_record final_record, runtime::microseconds deadline);
+  // Reads the agreed record of a key.
   runtime::task<call_lookup> read(std::string key, runtime::microseconds deadline);
 
  private:
-  consensus::proposer stores_;
+  consensus::proposer proposer_;
 };
 
 }  // namespace herontally::ledger
--- a/src/ledger/conversation_record.cc
+++ b/src/ledger/conversation_record.cc
@@ -8,19 +8,20 @@
 
 using json = nlohmann::json;
 
-constexpr std::size_t max_endings = 24;
+constexpr std::size_t max_ended_turns = 24;
 
-std::string to_text(const conversation_record& content) {
-  json out = content.unknown_fields.is_object() ? content.unknown_fields : json::object();
-  out.update(json(content));
+std::string to_text(const conversation_record& record) {
+  json out = record.unknown_fields.is_object() ? record.unknown_fields : json::object();
+  out.update(json(record));
   return dump(out);
 }
 
-// A record that can't be read is no empty record: nothing may be reserved or settled over it.
+// An unreadable record must not be treated as an empty one, or it would be overwritten by a reservation or
+// settlement.
 static conversation_record unreadable_record() {
-  conversation_record content;
-  content.readable = false;
-  return content;
+  conversation_record record;
+  record.readable = false;
+  return record;
 }
 
 conversation_record conversation_from_text(const std::optional<std::string>& text) {
@@ -29,13 +30,13 @@
   if (!stored) return unreadable_record();
   auto document = with_defaults(std::move(*stored), {{"told_pages", ""}});
   try {
-    auto content = document.get<conversation_record>();
-    for (auto& each : content.endings)
+    auto record = document.get<conversation_record>();
+    for (auto& each : record.endings)
       if (each.outcome == turn_outcome::unrecognized) return unreadable_record();
-    json known = content;
+    json known = record;
     for (auto& [name, value] : known.items()) document.erase(name);
-    content.unknown_fields = std::move(document);
-    return content;
+    record.unknown_fields = std::move(document);
+    return record;
   } catch (const json::exception&) {
     return unreadable_record();
   }
@@ -45,48 +46,48 @@
   return "p/" + partner + "/" + program;
 }
 
-bool is_expired(const conversation_record& content, std::int64_t wall) {
-  return content.readable && content.length > 0 && content.keep_until != 0 &&
-         wall > content.keep_until + retention_margin;
+bool is_expired(const conversation_record& record, std::int64_t wall) {
+  return record.readable && record.length > 0 && record.keep_until != 0 &&
+         wall > record.keep_until + retention_margin;
 }
 
-void begin_conversation(conversation_record& content) {
-  content.digest.clear();
-  content.length = 0;
-  content.generation += 1;
-  std::erase_if(content.endings, [](auto& each) { return each.outcome == turn_outcome::done; });
+void reset_conversation(conversation_record& record) {
+  record.digest.clear();
+  record.length = 0;
+  record.generation += 1;
+  std::erase_if(record.endings, [](auto& each) { return each.outcome == turn_outcome::done; });
 }
 
-const ended_turn* find_done(const conversation_record& content, const std::string& turn) {
-  for (auto& each : content.endings)
+const ended_turn* find_completed_turn(const conversation_record& record, const std::string& turn) {
+  for (auto& each : record.endings)
     if (each.turn == turn && each.outcome == turn_outcome::done) return &each;
   return nullptr;
 }
 
-const ended_turn* find_request(const conversation_record& content, const std::string& request_id) {
-  for (auto& each : content.endings)
+const ended_turn* find_turn_of_request(const conversation_record& record, const std::string& request_id) {
+  for (auto& each : record.endings)
     if (each.request_id == request_id) return &each;
   return nullptr;
 }
 
-void add_ending(conversation_record& content, ended_turn last) {
-  content.endings.insert(content.endings.begin(), std::move(last));
-  if (content.endings.size() > max_endings) content.endings.resize(max_endings);
+void add_ended_turn(conversation_record& record, ended_turn turn) {
+  record.endings.insert(record.endings.begin(), std::move(turn));
+  if (record.endings.size() > max_ended_turns) record.endings.resize(max_ended_turns);
 }
 
-bool was_refused(const conversation_record& content, const std::string& turn) {
-  auto& turns = content.refused_turns;
+bool was_refused(const conversation_record& record, const std::string& turn) {
+  auto& turns = record.refused_turns;
   return std::find(turns.begin(), turns.end(), turn) != turns.end();
 }
 
-std::string to_text(const refused_page& content) { return dump(json(content)); }
+std::string to_text(const refused_page& page) { return dump(json(page)); }
 std::optional<refused_page> refused_page_from_text(const std::string& text) {
-  return parse<refused_page>(text);
+  return parse_record<refused_page>(text);
 }
 
 std::string to_text(const turn_content& content) { return dump(json(content)); }
 std::optional<turn_content> turn_content_from_text(const std::string& text) {
-  return parse<turn_content>(text);
+  return parse_record<turn_content>(text);
 }
 
 }  // namespace herontally::ledger
--- a/src/ledger/operation_ledger.h
+++ b/src/ledger/operation_ledger.h
@@ -1,9 +1,13 @@
-// The ledger of operations: requests of one tenant under one operation key, of which one runs. Every answer
-// rests on a majority of the storage machines' synced disks.
+// Deduplicates operations: of all requests of one tenant with the same operation key, one runs. Every result
+// is agreed by a majority of the storage nodes and synced to their disks. The ledger does not send operations
+// to engines and does not remove expired records; see storage_node/expiry.h.
 //
-// Invariants: an engine hears of an operation only after the claim is agreed, and only at the service that
-// the claim names. An operation whose end isn't known is never claimed anew within its window, but for
-// services whose engines share a table of keys: those run it once, however often it is sent.
+// Invariants:
+// - An operation is sent to an engine only after its claim is agreed, and only to the service named in the
+//   claim.
+// - An operation whose outcome is unknown is not claimed again within its retention window. Services whose
+//   engines share a deduplication table are the exception: those run an operation once, however often it is
+//   sent.
 #pragma once
 #include <map>
 
@@ -14,27 +18,27 @@
 namespace herontally::ledger {
 
 enum class operation_state {
-  unrecognized,  // a word that this version doesn't know: it may have run
-  claimed,       // it may run or have run
-  answered,      // it ran, with the answer that the record holds
-  not_run,       // the claimer's attempt never ran: the key is free
+  unrecognized,  // a state name that this version doesn't know; the operation may have run
+  claimed,       // the operation may be running or have run
+  answered,      // the operation ran; the record holds its response
+  not_run,       // the claimed attempt never ran; the key may be claimed again
 };
 NLOHMANN_JSON_SERIALIZE_ENUM(operation_state, {{operation_state::unrecognized, nullptr},
                                                {operation_state::claimed, "claimed"},
                                                {operation_state::answered, "answered"},
                                                {operation_state::not_run, "not-run"}})
 
-// Times are of the wall clock, in microseconds.
+// The record of one operation key. Times are wall-clock times in microseconds.
 struct operation_record {
   operation_state state = operation_state::claimed;
-  std::string owner;               // the claim: unique to one request at one node
-  std::string service;             // whose engines may run it
-  bool deduplicated = false;       // they share a table of keys: the operation may be sent there again
-  std::int64_t running_until = 0;  // no engine works on it for its owner any longer
-  std::int64_t keep_until = 0;     // the key names this operation until then
-  std::int64_t status = 0;
-  std::map<std::string, std::string> headers;  // of the answer
-  std::string body;                            // kept behind the other fields, as its bytes came
+  std::string owner;          // identifies the claim; unique to one request at one node
+  std::string service;        // only its engines may run the operation
+  bool deduplicated = false;  // its engines share a deduplication table, so the operation may be sent again
+  std::int64_t running_until = 0;              // after this no engine runs the operation for `owner`
+  std::int64_t keep_until = 0;                 // after this the key identifies a new operation
+  std::int64_t status = 0;                     // HTTP status of the response
+  std::map<std::string, std::string> headers;  // of the response
+  std::string body;                            // of the response; stored unencoded after the JSON line
 
   static constexpr auto json_fields() {
     using serialization::json_field;
@@ -48,40 +52,44 @@
   }
 };
 
-// A line of JSON, then the body.
-std::string to_text(const operation_record& content);
-// Nothing: a text that this version can't read; the operation may have run.
+// Returns a line of JSON followed by the body.
+std::string to_text(const operation_record& record);
+// Returns nullopt if this version can't read the text; the operation may have run.
 std::optional<operation_record> operation_record_from_text(const std::string& text);
-bool is_expired(const operation_record& content, std::int64_t wall);
+// Returns whether the retention window has ended at wall-clock time `wall`, without a margin for clock
+// differences.
+bool is_expired(const operation_record& record, std::int64_t wall);
 
 constexpr const char* operation_prefix = "operation/";
-// `operation`: the key, as it is scoped by its tenant.
+// Returns the register key of an operation's record. `operation` is the operation key scoped by its tenant.
 std::string operation_record_key(const std::string& operation);
 
 enum class claim_status {
-  claimed,      // durable: an engine of the record's service may hear of it
-  answered,     // it ran: the record holds the answer
-  in_progress,  // another request of this key is at work
-  unknown_end,  // it may have run, and its answer is lost
-  unreachable,  // no majority; certainly not claimed
-  uncertain,    // no majority; a claim may stand, but nothing was run
+  claimed,      // durable; the operation may be sent to an engine of the record's service
+  answered,     // the operation ran; the record holds its response
+  in_progress,  // another request with this key may still be running
+  unknown_end,  // the operation may have run, and its response is lost
+  unreachable,  // no majority, or no disk capacity; no claim was made
+  uncertain,    // no majority; a claim may have been made, but the operation was not run
 };
 struct claim_result {
   claim_status status = claim_status::unreachable;
   operation_record record;
 };
 
+// Deadlines are times of the runtime's steady clock, in microseconds.
 class operation_ledger {
  public:
-  explicit operation_ledger(consensus::proposer stores) : stores_(std::move(stores)) {}
-  runtime::task<claim_result> claim(std::string operation, operation_record first,
+  explicit operation_ledger(consensus::proposer proposer) : proposer_(std::move(proposer)) {}
+  // Claims the operation with the record `initial`, unless its key is already in use.
+  runtime::task<claim_result> claim(std::string operation, operation_record initial,
                                     runtime::microseconds deadline);
-  // Puts the claim's end in its place: an answer, or that it never ran. False: it can't be kept, or the claim
-  // is another's by now.
-  runtime::task<bool> finish(std::string operation, operation_record last, runtime::microseconds deadline);
+  // Replaces the claim with its outcome: a response, or that the operation never ran. Returns false if no
+  // majority confirmed the write, or if the claim belongs to another request by now.
+  runtime::task<bool> finish(std::string operation, operation_record outcome, runtime::microseconds deadline);
 
  private:
-  consensus::proposer stores_;
+  consensus::proposer proposer_;
 };
 
 }  // namespace herontally::ledger
--- a/src/ledger/text.h
+++ b/src/ledger/text.h
@@ -1,4 +1,5 @@
-// Internal to the ledger package: JSON texts of stored records, and digests.
+// Serializes the ledger's stored records as JSON text, and computes the digests of texts. What the records
+// hold is defined beside each record type.
 #pragma once
 #include <nlohmann/json.hpp>
 #include <optional>
@@ -6,12 +7,12 @@
 
 namespace herontally::ledger {
 
-// The text of a record; bytes that are no UTF-8 are replaced.
+// Returns the JSON text of a record. Invalid UTF-8 is replaced with U+FFFD.
 std::string dump(const nlohmann::json& document);
 
-// Nothing for a text that another layer wrote and this one can't read.
+// Parses a record. Returns nullopt if the text is not a JSON object or lacks a field of the record.
 template <class Record>
-std::optional<Record> parse(const std::string& text) {
+std::optional<Record> parse_record(const std::string& text) {
   auto document = nlohmann::json::parse(text, nullptr, false);
   if (!document.is_object()) return std::nullopt;
   try {
@@ -21,10 +22,11 @@
   }
 }
 
-// Adds fields that came with later versions: an older one's record lacks them.
+// Adds the members of `later_fields` that `document` lacks. These are fields introduced after the first
+// version of a record, which records written by older versions don't have.
 nlohmann::json with_defaults(nlohmann::json document, const nlohmann::json& later_fields);
 
-// SHA-256 in hexadecimal.
+// Returns the SHA-256 digest of `text` in hexadecimal.
 std::string digest_of(const std::string& text);
 
 }  // namespace herontally::ledger
--- a/src/storage_node/conversation_expiry.cc
+++ b/src/storage_node/conversation_expiry.cc
@@ -49,7 +49,7 @@
     auto close = [runtime](const std::optional<std::string>& current) -> std::optional<std::string> {
       auto now = ledger::conversation_from_text(current);
       if (!is_overdue(now, runtime.wall())) return std::nullopt;
-      ledger::begin_conversation(now);
+      ledger::reset_conversation(now);
       return ledger::to_text(now);
     };
     co_await group.change(key, close, runtime.now() + 2 * second, true);
--- a/tests/operation_ledger_test.cc
+++ b/tests/operation_ledger_test.cc
@@ -1,4 +1,5 @@
-// Operations by key: one of all the requests under a key runs, and the others get its answer.
+// Tests operations by key, through the request router and at the ledger: of all requests with the same key
+// one runs, and the others get its response.
 #include "ledger/operation_ledger.h"
 
 #include "request_router_fixture.h"
@@ -22,7 +23,7 @@
   }
 };
 
-operation_record claim_of(const std::string& owner, std::int64_t wall) {
+operation_record make_claim(const std::string& owner, std::int64_t wall) {
   operation_record first;
   first.owner = owner;
   first.service = "apps";
@@ -33,110 +34,111 @@
 
 }  // namespace
 
-TEST_CASE("a repeat gets the first one's answer, stamp and body, under its own id") {
-  operation_fixture here(31);
-  auto first = here.operation("k");
+TEST_CASE("a repeated operation gets the first response, seal and body, under its own attempt id") {
+  operation_fixture fixture(31);
+  auto first = fixture.operation("k");
   CHECK(first.status == 200);
-  here.next["one"] = {behaviour{.status = 500}};
-  auto again = here.operation("k");
+  fixture.next["one"] = {behaviour{.status = 500}};
+  auto again = fixture.operation("k");
   CHECK(again.status == 200);
   CHECK(again.body == first.body);
   CHECK(again.headers["x-server-seal"] == first.headers["x-server-seal"]);
-  CHECK(again.headers["x-attempt-id"] == here.last_attempt());
-  CHECK(here.seen.size() == 1);
-  CHECK(here.operation("other").status == 500);
-  CHECK(here.operation("other").status == 500);
-  CHECK(here.seen.size() == 2);
+  CHECK(again.headers["x-attempt-id"] == fixture.last_attempt());
+  CHECK(fixture.seen.size() == 1);
+  CHECK(fixture.operation("other").status == 500);
+  CHECK(fixture.operation("other").status == 500);
+  CHECK(fixture.seen.size() == 2);
 }
 
-TEST_CASE("an operation whose answer was lost isn't run again") {
-  operation_fixture here(32);
-  here.next["one"] = {behaviour{.lost = true}};
-  CHECK(here.operation("k").status == 502);
-  CHECK(here.operation("k").status == 409);
-  here.stores.world.run_for(5 * second);
-  CHECK(here.operation("k").status == 502);
-  CHECK(here.seen.size() == 1);
+TEST_CASE("an operation whose response was lost isn't run again") {
+  operation_fixture fixture(32);
+  fixture.next["one"] = {behaviour{.lost = true}};
+  CHECK(fixture.operation("k").status == 502);
+  CHECK(fixture.operation("k").status == 409);
+  fixture.stores.world.run_for(5 * second);
+  CHECK(fixture.operation("k").status == 502);
+  CHECK(fixture.seen.size() == 1);
 }
 
-TEST_CASE("an operation that an engine promises not to have run may be run by a repeat") {
-  operation_fixture here(33);
-  here.next["one"] = {behaviour{.status = 503, .not_run = true}};
-  CHECK(here.operation("k").status == 503);
-  CHECK(here.operation("k").status == 200);
-  CHECK(here.seen.size() == 2);
+TEST_CASE("an operation that an engine reports as not run may be run by a repeated request") {
+  operation_fixture fixture(33);
+  fixture.next["one"] = {behaviour{.status = 503, .not_run = true}};
+  CHECK(fixture.operation("k").status == 503);
+  CHECK(fixture.operation("k").status == 200);
+  CHECK(fixture.seen.size() == 2);
 }
 
-TEST_CASE("REFUSED: an operation that may have run isn't answered 503 for the next engine's refusal") {
-  operation_fixture here(39);
-  here.engine("two", "apps");
-  here.table.services[0].deduplicates = true;
-  here.table.routes.back().tries = 2;
-  here.table.version = 2;
-  here.begin();
-  // Whichever engine is asked first loses the answer, and the other one rejects the request.
+TEST_CASE("REFUSED: an operation that may have run isn't answered 503 when the next engine rejects it") {
+  operation_fixture fixture(39);
+  fixture.engine("two", "apps");
+  fixture.table.services[0].deduplicates = true;
+  fixture.table.routes.back().tries = 2;
+  fixture.table.version = 2;
+  fixture.begin();
+  // The engine that is asked first loses the response, and the other one rejects the request. The case runs
+  // once for each order.
   for (auto* first : {"one", "two"}) {
     auto* other = std::string(first) == "one" ? "two" : "one";
-    here.next[first] = {behaviour{.lost = true}};
-    here.next[other] = {behaviour{.status = 503, .not_run = true}};
-    here.seen.clear();
-    auto got = here.operation(std::string("k-") + first);
-    CAPTURE(first, here.seen.size());
-    bool lost_first = !here.seen.empty() && here.seen[0].engine == first;
+    fixture.next[first] = {behaviour{.lost = true}};
+    fixture.next[other] = {behaviour{.status = 503, .not_run = true}};
+    fixture.seen.clear();
+    auto got = fixture.operation(std::string("k-") + first);
+    CAPTURE(first, fixture.seen.size());
+    bool lost_first = !fixture.seen.empty() && fixture.seen[0].engine == first;
     if (lost_first) CHECK(got.status == 502);
     if (!lost_first) CHECK(got.status != 200);
-    here.next.clear();
+    fixture.next.clear();
   }
 }
 
-TEST_CASE("an operation stays with the service that it began at") {
-  operation_fixture here(34);
-  here.table.services[0].deduplicates = true;
-  here.table.version = 2;
-  here.node_router->set_routing(here.table, {});
-  here.next["one"] = {behaviour{.lost = true}};
-  CHECK(here.operation("k").status == 502);
-  here.table.routes.back().targets = {{"models", 1}};
-  here.table.version = 3;
-  here.engine("two", "models");
-  here.node_router->set_engines(here.listed.dump(), {});
-  here.node_router->set_routing(here.table, {});
-  CHECK(here.operation("k").status == 502);
-  CHECK(here.seen.size() == 1);
-  CHECK(here.operation("new").status == 200);
-  CHECK(here.seen.back().engine == "two");
+TEST_CASE("an operation is not sent to another service after it was claimed") {
+  operation_fixture fixture(34);
+  fixture.table.services[0].deduplicates = true;
+  fixture.table.version = 2;
+  fixture.node_router->set_routing(fixture.table, {});
+  fixture.next["one"] = {behaviour{.lost = true}};
+  CHECK(fixture.operation("k").status == 502);
+  fixture.table.routes.back().targets = {{"models", 1}};
+  fixture.table.version = 3;
+  fixture.engine("two", "models");
+  fixture.node_router->set_engines(fixture.listed.dump(), {});
+  fixture.node_router->set_routing(fixture.table, {});
+  CHECK(fixture.operation("k").status == 502);
+  CHECK(fixture.seen.size() == 1);
+  CHECK(fixture.operation("new").status == 200);
+  CHECK(fixture.seen.back().engine == "two");
 }
 
-TEST_CASE("a key that no engine has heard of is free for another service") {
-  operation_fixture here(35);
-  here.next["one"] = {behaviour{.status = 503, .not_run = true}};
-  CHECK(here.operation("k").status == 503);
-  here.table.routes.back().targets = {{"models", 1}};
-  here.table.version = 2;
-  here.engine("two", "models");
-  here.node_router->set_engines(here.listed.dump(), {});
-  here.node_router->set_routing(here.table, {});
-  CHECK(here.operation("k").status == 200);
+TEST_CASE("an operation that has not run may be claimed for another service") {
+  operation_fixture fixture(35);
+  fixture.next["one"] = {behaviour{.status = 503, .not_run = true}};
+  CHECK(fixture.operation("k").status == 503);
+  fixture.table.routes.back().targets = {{"models", 1}};
+  fixture.table.version = 2;
+  fixture.engine("two", "models");
+  fixture.node_router->set_engines(fixture.listed.dump(), {});
+  fixture.node_router->set_routing(fixture.table, {});
+  CHECK(fixture.operation("k").status == 200);
 }
 
-TEST_CASE("without a majority of the stores no engine hears of an operation") {
-  operation_fixture here(36);
-  for (auto* name : {"s2", "s3"}) here.stores.world.kill(name, simulator::disk_loss::none);
-  CHECK(here.operation("k").status == 503);
-  CHECK(here.seen.empty());
+TEST_CASE("without a majority of the storage nodes no operation is sent to an engine") {
+  operation_fixture fixture(36);
+  for (auto* name : {"s2", "s3"}) fixture.stores.world.kill(name, simulator::disk_loss::none);
+  CHECK(fixture.operation("k").status == 503);
+  CHECK(fixture.seen.empty());
 }
 
-TEST_CASE("of two claims one wins, and it outlasts the loss of power at every store") {
+TEST_CASE("one of two claims wins, and it survives the loss of power at every storage node") {
   group stores(37);
   auto writer = stores.begin();
   ledger::operation_ledger first(writer), second_ledger(stores.writer("v"));
   auto wall = stores.world.runtime_of("w").wall();
-  auto begun = stores.run("w", first.claim("k", claim_of("a", wall), stores.deadline("w", second)));
+  auto begun = stores.run("w", first.claim("k", make_claim("a", wall), stores.deadline("w", second)));
   CHECK(begun.status == claim_status::claimed);
   for (auto* name : {"s1", "s2", "s3"}) stores.world.kill(name, simulator::disk_loss::unsynced);
   for (auto* name : {"s1", "s2", "s3"}) stores.boot(name);
   auto other =
-      stores.run("v", second_ledger.claim("k", claim_of("b", wall), stores.deadline("v", 2 * second)));
+      stores.run("v", second_ledger.claim("k", make_claim("b", wall), stores.deadline("v", 2 * second)));
   CHECK(other.status == claim_status::in_progress);
   CHECK(other.record.owner == "a");
   auto last = begun.record;
@@ -146,33 +148,33 @@
   last.body = std::string("\x00\xff\n bytes", 10);
   CHECK(stores.run("w", first.finish("k", last, stores.deadline("w", 2 * second))));
   auto repeat =
-      stores.run("v", second_ledger.claim("k", claim_of("c", wall), stores.deadline("v", 2 * second)));
+      stores.run("v", second_ledger.claim("k", make_claim("c", wall), stores.deadline("v", 2 * second)));
   CHECK(repeat.status == claim_status::answered);
   CHECK(repeat.record.body == last.body);
   CHECK(repeat.record.headers == last.headers);
 }
 
-TEST_CASE("after its window a key names a new operation") {
+TEST_CASE("after its retention window a key identifies a new operation") {
   group stores(38);
   auto writer = stores.begin();
   ledger::operation_ledger operations(writer);
   auto wall = stores.world.runtime_of("w").wall();
-  auto begun = stores.run("w", operations.claim("k", claim_of("a", wall), stores.deadline("w", second)));
+  auto begun = stores.run("w", operations.claim("k", make_claim("a", wall), stores.deadline("w", second)));
   CHECK(begun.status == claim_status::claimed);
   stores.world.run_for(71 * second);
   auto later = stores.run(
-      "w", operations.claim("k", claim_of("b", wall + 71 * second), stores.deadline("w", 2 * second)));
+      "w", operations.claim("k", make_claim("b", wall + 71 * second), stores.deadline("w", 2 * second)));
   CHECK(later.status == claim_status::claimed);
   CHECK(later.record.owner == "b");
 }
 
-TEST_CASE("records of operations: a text of a later version is left alone") {
+TEST_CASE("an operation record of a later version is not interpreted") {
   CHECK_FALSE(ledger::operation_record_from_text("nothing"));
   CHECK_FALSE(ledger::operation_record_from_text("{\"state\":\"later\"}\nbody"));
-  auto text = to_text(claim_of("a", 5));
-  auto back = ledger::operation_record_from_text(text);
-  REQUIRE(back);
-  CHECK(back->owner == "a");
-  CHECK_FALSE(is_expired(*back, 70 * second));
-  CHECK(is_expired(*back, 71 * second));
+  auto text = to_text(make_claim("a", 5));
+  auto read = ledger::operation_record_from_text(text);
+  REQUIRE(read);
+  CHECK(read->owner == "a");
+  CHECK_FALSE(is_expired(*read, 70 * second));
+  CHECK(is_expired(*read, 71 * second));
 }
--- a/tests/program_ledger_faults_test.cc
+++ b/tests/program_ledger_faults_test.cc
@@ -1,4 +1,4 @@
-// The ledger of branching programs under faults: racing nodes, lost disks, moving voters.
+// Tests the program ledger under faults: concurrent nodes, lost disks, replaced voters.
 #include <catch2/catch.hpp>
 
 #include "ledger/program_record.h"
@@ -14,93 +14,97 @@
 
 namespace {
 
-// What every node was told of one program's turns.
+// Results that the nodes received for one program's turns, and the bounds that follow from them.
 struct oracle {
   struct turn {
-    std::int64_t most = 0, handed_out = 0;
-    bool may_be_reserved = true, settled = false;
+    std::int64_t max_tokens = 0, output_tokens = 0;
+    bool may_be_charged = true, settled = false;
   };
-  std::int64_t budget = 0, most_of_one = 0;
+  std::int64_t budget = 0, max_turn_tokens = 0;
   std::map<std::string, turn> turns;
-  int granted = 0, spent = 0, uncertain = 0;
-  // The most that can be taken up, settlements that were sure at this time at what they were.
-  std::int64_t taken_up() const {
+  int granted = 0, refused = 0, uncertain = 0;
+  // The most tokens that the ledger can have charged: confirmed settlements at their amount, other
+  // reservations in full.
+  std::int64_t max_charged() const {
     std::int64_t total = 0;
     for (auto& [id, each] : turns)
-      if (each.may_be_reserved) total += each.settled ? each.handed_out : each.most;
+      if (each.may_be_charged) total += each.settled ? each.output_tokens : each.max_tokens;
     return total;
   }
-  std::int64_t handed_out() const {
+  std::int64_t output_tokens() const {
     std::int64_t total = 0;
-    for (auto& [id, each] : turns) total += each.handed_out;
+    for (auto& [id, each] : turns) total += each.output_tokens;
     return total;
   }
 };
 
 runtime::task<> run_turns(runtime::handle runtime, ledger::program_ledger programs,
-                          std::shared_ptr<oracle> known, std::string name, int count) {
+                          std::shared_ptr<oracle> history, std::string name, int count) {
   for (int each = 0; each < count; ++each) {
     std::string id = name + "." + std::to_string(each);
-    std::int64_t most = 1 + static_cast<std::int64_t>(runtime.draw(60));
-    std::int64_t before = known->taken_up();
-    known->turns[id].most = most;
-    known->most_of_one = std::max(known->most_of_one, most);
-    auto end = co_await programs.reserve("chat", id, known->budget, most, runtime.now() + 800 * millisecond);
-    // Others may have settled less while this one was under way: what was taken up before counts as well.
-    std::int64_t others = std::max(before, known->taken_up() - most);
-    if (end == program_reservation::budget_spent) {
-      CHECK(others >= known->budget);
-      ++known->spent;
+    std::int64_t max_tokens = 1 + static_cast<std::int64_t>(runtime.draw(60));
+    std::int64_t before = history->max_charged();
+    history->turns[id].max_tokens = max_tokens;
+    history->max_turn_tokens = std::max(history->max_turn_tokens, max_tokens);
+    auto result =
+        co_await programs.reserve("chat", id, history->budget, max_tokens, runtime.now() + 800 * millisecond);
+    // Other turns may have been settled for less during this call, so the charge before the call counts as
+    // well.
+    std::int64_t others = std::max(before, history->max_charged() - max_tokens);
+    if (result == program_reservation::budget_spent) {
+      CHECK(others >= history->budget);
+      ++history->refused;
     }
-    known->turns[id].may_be_reserved =
-        end == program_reservation::granted || end == program_reservation::unknown;
-    if (end == program_reservation::unknown) ++known->uncertain;
-    if (end == program_reservation::granted) {
-      ++known->granted;
+    history->turns[id].may_be_charged =
+        result == program_reservation::granted || result == program_reservation::unknown;
+    if (result == program_reservation::unknown) ++history->uncertain;
+    if (result == program_reservation::granted) {
+      ++history->granted;
       co_await runtime.sleep(static_cast<runtime::microseconds>(runtime.draw(50000)));
-      std::int64_t went_out = static_cast<std::int64_t>(runtime.draw(static_cast<std::uint64_t>(most) + 1));
-      known->turns[id].handed_out = went_out;
-      CHECK(known->handed_out() <= known->budget + known->most_of_one);
-      // Some nodes forget.
+      std::int64_t output =
+          static_cast<std::int64_t>(runtime.draw(static_cast<std::uint64_t>(max_tokens) + 1));
+      history->turns[id].output_tokens = output;
+      CHECK(history->output_tokens() <= history->budget + history->max_turn_tokens);
+      // One turn in eight is never settled.
       if (runtime.draw(8) > 0) {
-        auto settled = co_await programs.settle("chat", id, went_out, runtime.now() + 800 * millisecond);
-        known->turns[id].settled = settled == program_settlement::settled;
+        auto settled = co_await programs.settle("chat", id, output, runtime.now() + 800 * millisecond);
+        history->turns[id].settled = settled == program_settlement::settled;
       }
     }
     co_await runtime.sleep(static_cast<runtime::microseconds>(runtime.draw(100000)));
   }
 }
 
-void lay_view(group& site, consensus::proposer writer) {
+void write_view_register(group& site, consensus::proposer writer) {
   consensus::view first = writer.current_view();
-  auto lay = [first](const std::optional<std::string>&) {
+  auto write = [first](const std::optional<std::string>&) {
     return std::optional<std::string>(consensus::to_text(first));
   };
   site.run("w",
-           writer.change(reconfiguration::view_register_key("store"), lay, site.deadline("w", 3 * second)));
+           writer.change(reconfiguration::view_register_key("store"), write, site.deadline("w", 3 * second)));
 }
 
-ledger::turn_record record_of(const std::string& id, const std::string& previous) {
+ledger::turn_record make_turn(const std::string& id, const std::string& previous) {
   return {id, previous, std::string(300, 'i'), std::string(300, 'o'), std::int64_t{1} << 60};
 }
 
 }  // namespace
 
-TEST_CASE("racing nodes and failing stores never overshoot a budget by more than a turn") {
-  int granted = 0, spent = 0, uncertain = 0;
+TEST_CASE("concurrent nodes and failing storage nodes never exceed a budget by more than one turn") {
+  int granted = 0, refused = 0, uncertain = 0;
   for (std::uint64_t seed = 1; seed <= 25; ++seed) {
     INFO("seed " << seed);
     group site(seed);
     auto first = site.begin();
-    auto known = std::make_shared<oracle>();
-    known->budget = 300;
+    auto history = std::make_shared<oracle>();
+    history->budget = 300;
     for (auto* node : {"wa", "wb"}) {
       auto writer = site.writer(node);
       writer.learn(first.current_view());
       ledger::program_ledger programs(writer);
       for (int task = 0; task < 4; ++task)
         site.world.runtime_of(node).spawn(
-            run_turns(site.world.runtime_of(node), programs, known, node + std::to_string(task), 10));
+            run_turns(site.world.runtime_of(node), programs, history, node + std::to_string(task), 10));
     }
     for (int fault = 0; fault < 5; ++fault) {
       site.world.run_for(static_cast<runtime::microseconds>(site.world.draw(300000)));
@@ -118,87 +122,89 @@
         site.world.heal(victim, node);
     }
     site.world.run_for(30 * second);
-    REQUIRE(known->handed_out() <= known->budget + known->most_of_one);
-    granted += known->granted;
-    spent += known->spent;
-    uncertain += known->uncertain;
+    REQUIRE(history->output_tokens() <= history->budget + history->max_turn_tokens);
+    granted += history->granted;
+    refused += history->refused;
+    uncertain += history->uncertain;
   }
-  INFO(granted << " granted, " << spent << " spent, " << uncertain << " uncertain");
+  INFO(granted << " granted, " << refused << " refused, " << uncertain << " uncertain");
   REQUIRE(granted > 200);
-  REQUIRE(spent > 200);
+  REQUIRE(refused > 200);
   REQUIRE(uncertain > 0);
 }
 
-TEST_CASE("a kept turn is missing only by a majority's word: a store that lost its disk has none") {
+TEST_CASE(
+    "a stored turn is reported missing only by a majority, and a node that lost its disk doesn't count") {
   group site(31);
   auto writer = site.begin();
   ledger::program_ledger programs(writer);
   site.world.cut("w", "s3");
   for (auto& [id, previous] : std::vector<std::pair<std::string, std::string>>{{"a", ""}, {"b", "a"}})
-    REQUIRE(site.run("w", programs.keep_turn(record_of(id, previous), site.deadline("w", 2 * second))));
+    REQUIRE(site.run("w", programs.keep_turn(make_turn(id, previous), site.deadline("w", 2 * second))));
   auto other = site.writer("v");
   other.learn(writer.current_view());
-  auto look = [&](const std::string& last) {
+  auto read = [&](const std::string& last) {
     return site.run("v", ledger::program_ledger(other).read_chain(last, site.deadline("v", second)));
   };
-  // At once, before repair brings the third what it missed.
+  // Immediately, before repair copies the turns to s3.
   site.world.kill("s1", simulator::disk_loss::all, true);
   site.world.kill("s2", simulator::disk_loss::none, true);
   site.boot("s1");
   for (auto* store : {"s1"}) site.world.cut(store, "s3");
-  REQUIRE(look("b").status == ledger::chain_status::unreachable);
-  REQUIRE(look("never").status == ledger::chain_status::unreachable);
+  REQUIRE(read("b").status == ledger::chain_status::unreachable);
+  REQUIRE(read("never").status == ledger::chain_status::unreachable);
   site.boot("s2");
-  auto found = look("b");
+  auto found = read("b");
   REQUIRE(found.status == ledger::chain_status::found);
   REQUIRE(found.turns.size() == 2);
-  REQUIRE(look("never").status == ledger::chain_status::missing);
-  // An ancestor that no majority has makes the whole chain missing.
-  REQUIRE(site.run("w", programs.keep_turn(record_of("d", "lost"), site.deadline("w", 2 * second))) == false);
+  REQUIRE(read("never").status == ledger::chain_status::missing);
+  // If a majority lacks an ancestor, the whole chain is missing.
+  REQUIRE(site.run("w", programs.keep_turn(make_turn("d", "lost"), site.deadline("w", 2 * second))) == false);
   site.world.heal("w", "s3");
-  REQUIRE(site.run("w", programs.keep_turn(record_of("e", "lost"), site.deadline("w", 2 * second))));
-  REQUIRE(look("e").status == ledger::chain_status::missing);
+  REQUIRE(site.run("w", programs.keep_turn(make_turn("e", "lost"), site.deadline("w", 2 * second))));
+  REQUIRE(read("e").status == ledger::chain_status::missing);
 }
 
-TEST_CASE("a turn that was kept while a voter was replaced survives the next loss") {
-  int kept_in_all = 0;
+TEST_CASE("a turn stored while a voter is being replaced survives the loss of another storage node") {
+  int stored_in_total = 0;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     INFO("seed " << seed);
     group site(seed, 4);
     auto writer = site.begin();
-    lay_view(site, writer);
-    auto kept = std::make_shared<std::vector<std::string>>();
-    auto going = std::make_shared<bool>(true);
+    write_view_register(site, writer);
+    auto stored = std::make_shared<std::vector<std::string>>();
+    auto running = std::make_shared<bool>(true);
     auto other = site.writer("v");
     other.learn(writer.current_view());
-    auto keep_on = [](ledger::program_ledger programs, runtime::handle runtime, std::string name,
-                      std::shared_ptr<std::vector<std::string>> kept,
-                      std::shared_ptr<bool> going) -> runtime::task<> {
-      for (int each = 0; *going; ++each) {
+    auto store_turns = [](ledger::program_ledger programs, runtime::handle runtime, std::string name,
+                          std::shared_ptr<std::vector<std::string>> stored,
+                          std::shared_ptr<bool> running) -> runtime::task<> {
+      for (int each = 0; *running; ++each) {
         std::string id = name + std::to_string(each);
-        bool lasting = co_await programs.keep_turn(record_of(id, ""), runtime.now() + 2 * second);
-        if (lasting) kept->push_back(id);
+        bool durable = co_await programs.keep_turn(make_turn(id, ""), runtime.now() + 2 * second);
+        if (durable) stored->push_back(id);
         co_await runtime.sleep(static_cast<runtime::microseconds>(runtime.draw(20000)));
       }
     };
     for (int task = 0; task < 4; ++task)
-      site.world.runtime_of("v").spawn(keep_on(ledger::program_ledger(other), site.world.runtime_of("v"),
-                                               "t" + std::to_string(task) + ".", kept, going));
+      site.world.runtime_of("v").spawn(store_turns(ledger::program_ledger(other), site.world.runtime_of("v"),
+                                                   "t" + std::to_string(task) + ".", stored, running));
     site.world.run_for(300 * millisecond);
     std::string lost = "s" + std::to_string(1 + seed % 3);
-    std::string leaving;
+    std::string replaced_id;
     for (auto& place : writer.current_view().voters)
-      if (place.node == lost) leaving = place.id;
+      if (place.node == lost) replaced_id = place.id;
     if (seed % 2) site.world.kill(lost, simulator::disk_loss::all, true);
-    // A voter that doesn't hear of the move from its maker is the one that a stale word could come from.
-    std::string deaf = lost == "s3" ? "s2" : "s3";
-    if (seed % 6 == 0) site.world.cut("w", deaf);
-    reconfiguration::replacement wanted{leaving, site.places({"s4"})[0]};
+    // A voter that "w", the node that runs the replacement, can't reach keeps the old view, so its replies
+    // could be stale.
+    std::string isolated = lost == "s3" ? "s2" : "s3";
+    if (seed % 6 == 0) site.world.cut("w", isolated);
+    reconfiguration::replacement wanted{replaced_id, site.places({"s4"})[0]};
     auto moved = site.run(
         "w", reconfiguration::replace_voter(writer, writer, wanted, site.deadline("w", 40 * second)));
     site.world.heal_all();
     site.world.run_for(300 * millisecond);
-    *going = false;
+    *running = false;
     site.world.run_for(3 * second);
     if (!std::holds_alternative<consensus::view>(moved)) {
       auto finished =
@@ -208,19 +214,19 @@
     site.world.kill(lost == "s1" ? "s2" : "s1", simulator::disk_loss::all, true);
     auto reader = site.writer("r");
     reader.learn(writer.current_view());
-    ledger::program_ledger cold(reader);
-    for (auto& id : *kept) {
+    ledger::program_ledger uncached(reader);
+    for (auto& id : *stored) {
       INFO("turn " << id);
-      auto found = site.run("r", cold.read_chain(id, site.deadline("r", 5 * second)));
+      auto found = site.run("r", uncached.read_chain(id, site.deadline("r", 5 * second)));
       REQUIRE(found.status == ledger::chain_status::found);
     }
-    kept_in_all += static_cast<int>(kept->size());
+    stored_in_total += static_cast<int>(stored->size());
   }
-  INFO(kept_in_all << " kept");
-  REQUIRE(kept_in_all > 500);
+  INFO(stored_in_total << " stored");
+  REQUIRE(stored_in_total > 500);
 }
 
-TEST_CASE("a put of another view is refused by a voter") {
+TEST_CASE("a voter refuses requests made under another view") {
   group site(33);
   auto writer = site.begin();
   auto place = writer.current_view().voters[0];
