--- a/src/storage_node/conversation_expiry.cc
+++ b/src/storage_node/conversation_expiry.cc
@@ -1,3 +1,5 @@
+// Expires conversations and call records in the replicated registers, and removes unreachable turn contents
+// from the local disk.
 #include <algorithm>
 
 #include "ledger/call_ledger.h"
@@ -13,18 +15,21 @@
 using runtime::second;
 using runtime::task;
 
-static bool is_overdue(const ledger::conversation_record& now, microseconds wall) {
-  if (!now.open.empty()) return false;
-  return ledger::is_expired(now, wall) || (broken("keep") && now.length > 0);
+static bool is_overdue(const ledger::conversation_record& record, microseconds wall) {
+  if (!record.open.empty()) return false;
+  return ledger::is_expired(record, wall) || (broken("keep") && record.length > 0);
 }
-static bool is_overdue(const ledger::call_record& now, microseconds wall) {
-  return now.readable && now.state == ledger::call_state::done && now.keep_until != 0 &&
-         wall > now.keep_until + ledger::retention_margin;
+static bool is_overdue(const ledger::call_record& record, microseconds wall) {
+  return record.readable && record.state == ledger::call_state::done && record.keep_until != 0 &&
+         wall > record.keep_until + ledger::retention_margin;
 }
 
-// So many records are looked at in one pass; a large store takes several.
+// Records examined in one pass. A larger store needs several passes, each of which continues where the last
+// one ended.
 constexpr std::size_t records_per_pass = 4000;
 
+// Returns the next records with this prefix in key order. `after` is the last key of the previous pass and is
+// advanced; it is empty at the start and after the last record.
 static std::vector<std::string> next_keys(const replication::voter& voter, const std::string& prefix,
                                           std::string& after) {
   auto keys = voter.records().records_with_prefix(prefix);
@@ -33,68 +38,72 @@
   auto end = keys.end() - begin > static_cast<std::ptrdiff_t>(records_per_pass)
                  ? begin + static_cast<std::ptrdiff_t>(records_per_pass)
                  : keys.end();
-  std::vector<std::string> some(begin, end);
-  after = end == keys.end() ? "" : some.back();
-  return some;
+  std::vector<std::string> keys_of_pass(begin, end);
+  after = end == keys.end() ? "" : keys_of_pass.back();
+  return keys_of_pass;
 }
 
-// The first live storage node expires conversations; the expected value of the round makes a second one
-// harmless.
+// Only the first live storage node does this. A second one at the same time is harmless, because each change
+// is a compare-and-set that checks the agreed value again.
 static task<> expire_conversations(replication::voter voter, consensus::proposer group,
                                    runtime::handle runtime, std::string* after) {
   for (auto& record : next_keys(voter, "k/p/", *after)) {
     std::string key = record.substr(2);
     auto text = voter.accepted_value(key);
     if (!text || !is_overdue(ledger::conversation_from_text(text), runtime.wall())) continue;
-    auto close = [runtime](const std::optional<std::string>& current) -> std::optional<std::string> {
-      auto now = ledger::conversation_from_text(current);
-      if (!is_overdue(now, runtime.wall())) return std::nullopt;
-      ledger::reset_conversation(now);
-      return ledger::to_text(now);
+    auto reset = [runtime](const std::optional<std::string>& current_text) -> std::optional<std::string> {
+      auto current = ledger::conversation_from_text(current_text);
+      if (!is_overdue(current, runtime.wall())) return std::nullopt;
+      ledger::reset_conversation(current);
+      return ledger::to_text(current);
     };
-    co_await group.change(key, close, runtime.now() + 2 * second, true);
+    co_await group.change(key, reset, runtime.now() + 2 * second, true);
     group.endpoint().logger().count("herontally_conversations_expired_total");
   }
 }
 
-// A call's record loses its answer after its retention and stays as a tombstone: its key never runs again.
-static task<> shrink_call_records(replication::voter voter, consensus::proposer group,
+// Removes the response from call records whose retention has ended. The record stays as a tombstone, so that
+// a call with its key never runs again.
+static task<> expire_call_records(replication::voter voter, consensus::proposer group,
                                   runtime::handle runtime, std::string* after) {
   for (auto& record : next_keys(voter, "k/r/", *after)) {
     std::string key = record.substr(2);
     auto found = ledger::call_record_from_text(voter.accepted_value(key));
     if (!found || !is_overdue(*found, runtime.wall())) continue;
-    auto shrink = [runtime](const std::optional<std::string>& current) -> std::optional<std::string> {
-      auto now = ledger::call_record_from_text(current);
-      if (!now || !is_overdue(*now, runtime.wall())) return std::nullopt;
-      now->state = ledger::call_state::expired;
-      now->answer.clear();
-      now->content_type.clear();
-      now->engine.clear();
-      return ledger::to_text(*now);
+    auto remove_response =
+        [runtime](const std::optional<std::string>& current_text) -> std::optional<std::string> {
+      auto current = ledger::call_record_from_text(current_text);
+      if (!current || !is_overdue(*current, runtime.wall())) return std::nullopt;
+      current->state = ledger::call_state::expired;
+      current->answer.clear();
+      current->content_type.clear();
+      current->engine.clear();
+      return ledger::to_text(*current);
     };
-    co_await group.change(key, shrink, runtime.now() + 2 * second, true);
+    co_await group.change(key, remove_response, runtime.now() + 2 * second, true);
     group.endpoint().logger().count("herontally_call_records_expired_total");
   }
 }
 
-// The contents of conversations; kept turns have times of their own.
+// Returns the keys of the conversations' turn contents. Stored turns of programs are excluded, because they
+// contain their own end of retention.
 static std::vector<std::string> conversation_contents(const replication::voter& voter) {
   constexpr int attributes_per_step = 1000;
-  const std::string turns = std::string("c/") + ledger::turn_prefix;
+  const std::string turn_records = std::string("c/") + ledger::turn_prefix;
   std::vector<std::string> found;
-  auto take = [&found, &turns](const std::string& record, std::int64_t) {
-    if (record.rfind(turns, 0) != 0) found.push_back(record);
+  auto collect = [&found, &turn_records](const std::string& record, std::int64_t) {
+    if (record.rfind(turn_records, 0) != 0) found.push_back(record);
   };
   for (int bucket = 0; bucket < static_cast<int>(voter.records().buckets().size()); ++bucket) {
     std::string after;
-    do after = voter.records().for_each_attribute(bucket, "c/", after, attributes_per_step, take);
+    do after = voter.records().for_each_attribute(bucket, "c/", after, attributes_per_step, collect);
     while (!after.empty());
   }
   return found;
 }
 
-// Every node clears its own disk: a content goes only if the agreed record is of a later generation.
+// Removes turn contents from the local disk. A content is removed only if the agreed record of its
+// conversation has a later generation.
 static task<> remove_expired_contents(replication::voter voter, consensus::proposer group,
                                       runtime::handle runtime) {
   std::map<std::string, std::int64_t> generations;
@@ -104,35 +113,35 @@
     auto content = body ? ledger::turn_content_from_text(*body) : std::nullopt;
     if (!content) continue;
     std::string key = ledger::conversation_key(content->partner, content->program);
-    auto known = generations.find(key);
-    if (known == generations.end()) {
+    auto cached = generations.find(key);
+    if (cached == generations.end()) {
       std::int64_t agreed = 0;
       auto local = ledger::conversation_from_text(voter.accepted_value(key));
-      // The agreed record is read only when our own copy says that something is to be cleared.
+      // The agreed record is read only if the local copy indicates that the content can be removed.
       if (local.generation > content->generation) {
         auto read = co_await group.read(key, runtime.now() + second);
         if (read.known()) agreed = ledger::conversation_from_text(read.value).generation;
       }
-      known = generations.emplace(key, agreed).first;
+      cached = generations.emplace(key, agreed).first;
     }
-    if (content->generation < known->second) removable.push_back(record.substr(2));
+    if (content->generation < cached->second) removable.push_back(record.substr(2));
   }
   if (removable.empty()) co_return;
   group.endpoint().logger().count("herontally_contents_removed_total", static_cast<double>(removable.size()));
   co_await voter.remove_contents(std::move(removable));
 }
 
-task<> expire_forever(replication::voter voter, consensus::proposer group, membership::member_list known) {
+task<> expire_forever(replication::voter voter, consensus::proposer group, membership::member_list members) {
   auto runtime = group.endpoint().runtime();
   runtime.spawn(expire_programs_forever(voter, runtime, group.endpoint().logger()));
   std::string conversations_after, calls_after;
   while (true) {
     co_await runtime.sleep(5 * second + static_cast<microseconds>(runtime.draw(500 * millisecond)));
     if (voter.current_view().number == 0) continue;
-    auto live = known.live(rpc::node_role::store);
-    if (!live.empty() && live.front().name == known.self().name) {
+    auto live = members.live(rpc::node_role::store);
+    if (!live.empty() && live.front().name == members.self().name) {
       co_await expire_conversations(voter, group, runtime, &conversations_after);
-      co_await shrink_call_records(voter, group, runtime, &calls_after);
+      co_await expire_call_records(voter, group, runtime, &calls_after);
     }
     co_await remove_expired_contents(voter, group, runtime);
   }
--- a/src/storage_node/node.cc
+++ b/src/storage_node/node.cc
@@ -13,31 +13,31 @@
 
 struct node::state : std::enable_shared_from_this<node::state> {
   runtime::handle runtime;
-  settings::settings place;
+  settings::settings config;
   logging::logger logger;
   rpc::endpoint endpoint;
-  membership::member_list known;
+  membership::member_list members;
   replication::voter voter;
   consensus::proposer group;
   bool ready = false, leaving = false;
 
-  static replication::voter_options voter_choice(const settings::settings& place) {
-    replication::voter_options choice;
-    choice.group = "store";
-    choice.bucket_count = 8;
-    choice.limit_bytes = place.disk_megabytes << 20;
-    choice.attribute = kept_until_attribute;
-    return choice;
+  static replication::voter_options make_voter_options(const settings::settings& config) {
+    replication::voter_options options;
+    options.group = "store";
+    options.bucket_count = 8;
+    options.limit_bytes = config.disk_megabytes << 20;
+    options.attribute = kept_until_attribute;
+    return options;
   }
-  state(runtime::handle handle, settings::settings given, logging::logger lines)
+  state(runtime::handle handle, settings::settings node_config, logging::logger node_logger)
       : runtime(handle),
-        place(std::move(given)),
-        logger(lines),
-        endpoint(handle, place.name, lines),
-        known(endpoint, membership::own_entry(place, rpc::node_role::store), place.seeds),
-        voter(endpoint, voter_choice(place)),
+        config(std::move(node_config)),
+        logger(node_logger),
+        endpoint(handle, config.name, node_logger),
+        members(endpoint, membership::own_entry(config, rpc::node_role::store), config.seeds),
+        voter(endpoint, make_voter_options(config)),
         group(endpoint, "store") {
-    if (place.speaks > 0) endpoint.set_version(place.speaks);
+    if (config.speaks > 0) endpoint.set_version(config.speaks);
   }
 
   static task<> watch_forever(std::shared_ptr<state> self) {
@@ -51,33 +51,34 @@
   }
 };
 
-node::node(runtime::handle runtime, settings::settings place, logging::logger logger)
-    : state_(std::make_shared<state>(std::move(runtime), std::move(place), std::move(logger))) {}
+node::node(runtime::handle runtime, settings::settings config, logging::logger logger)
+    : state_(std::make_shared<state>(std::move(runtime), std::move(config), std::move(logger))) {}
 node::~node() = default;
 
 task<std::optional<std::string>> node::start() {
   auto self = state_;
   std::weak_ptr<state> weak = self;
   self->voter.on_view([weak](const consensus::view& installed) {
-    if (auto here = weak.lock()) here->group.learn(installed);
+    if (auto locked = weak.lock()) locked->group.learn(installed);
   });
-  auto fault = co_await self->voter.open();
-  if (fault == replication::open_error::failed)
-    co_return std::string("data can't be read or written: ") + self->place.data;
+  auto opened = co_await self->voter.open();
+  if (opened == replication::open_error::failed)
+    co_return std::string("data can't be read or written: ") + self->config.data;
   if (self->voter.current_view().number > 0) self->group.learn(self->voter.current_view());
-  self->known.start();
-  // Only now can every message be answered.
-  if (!self->endpoint.listen(self->place.inner)) co_return "inner can't be listened on: " + self->place.inner;
+  self->members.start();
+  // Listens only from here on, when messages of every kind can be answered.
+  if (!self->endpoint.listen(self->config.inner))
+    co_return "inner can't be listened on: " + self->config.inner;
   self->runtime.spawn(self->voter.repair_forever());
-  self->runtime.spawn(expire_forever(self->voter, self->group, self->known));
+  self->runtime.spawn(expire_forever(self->voter, self->group, self->members));
   self->runtime.spawn(state::watch_forever(self));
   bool served = self->runtime.http_serve(
-      self->place.http, [weak](runtime::inbound_request handle_record, http_api::writer out) {
-        auto here = weak.lock();
-        if (!here || http_api::common_pages(handle_record, out, here->logger, here->ready)) return;
+      self->config.http, [weak](runtime::inbound_request request, http_api::writer out) {
+        auto locked = weak.lock();
+        if (!locked || http_api::common_pages(request, out, locked->logger, locked->ready)) return;
         http_api::reject(out, 404, "no such page", http_api::executed::no);
       });
-  if (!served) co_return "http can't be listened on: " + self->place.http;
+  if (!served) co_return "http can't be listened on: " + self->config.http;
   self->logger.info("started", {{"voter", self->voter.id()}, {"keys", self->voter.records().record_count()}});
   co_return std::nullopt;
 }
@@ -87,7 +88,7 @@
 task<> node::leave() {
   auto self = state_;
   self->leaving = true;
-  co_await self->known.leave();
+  co_await self->members.leave();
 }
 
 }  // namespace herontally::storage_node
--- a/src/storage_node/node.h
+++ b/src/storage_node/node.h
@@ -1,4 +1,5 @@
-// A storage machine's process: voter of the program ledger, owner of conversation chains and call records.
+// The storage node process: a voter of the storage group, which holds the records of the ledger package and
+// the contents of turns. It also removes expired data. It doesn't serve client requests.
 #pragma once
 #include "logging/logging.h"
 #include "replication/voter.h"
@@ -9,12 +10,14 @@
 
 class node {
  public:
-  node(runtime::handle runtime, settings::settings place, logging::logger logger);
+  node(runtime::handle runtime, settings::settings config, logging::logger logger);
   ~node();
+  // Opens the data and starts to serve. Returns an error message for the command line if that fails.
   runtime::task<std::optional<std::string>> start();
+  // Reports the node as not ready and announces its departure to the other nodes.
   runtime::task<> leave();
 
-  // For simulations, which look at a node from inside.
+  // For simulations, which inspect the state of a node.
   const replication::voter& voter() const;
 
  private:
--- a/src/storage_node/program_expiry.cc
+++ b/src/storage_node/program_expiry.cc
@@ -1,3 +1,4 @@
+// Removes expired program records, operation records and stored turns from the local disk.
 #include <limits>
 
 #include "ledger/conversation_record.h"
@@ -12,7 +13,7 @@
 using runtime::task;
 
 namespace {
-// Records that are examined before other tasks of the process run.
+// Records examined in one step. Other tasks of the process run between the steps.
 constexpr int records_per_step = 300;
 
 bool is_expired_program(const std::string& value, std::int64_t wall) {
@@ -27,58 +28,63 @@
 
 using expiry_check = bool (*)(const std::string& value, std::int64_t wall);
 
-// A round that had its promise here may still be under way: its ballot begins with the wall clock.
+// Returns whether a register with this promise and accepted value may be removed at wall-clock time `wall`. A
+// register with a recent promise is kept, because the round that made it may still be in progress; ballot
+// counters start from the wall-clock time.
 bool is_removable(expiry_check is_expired, std::int64_t wall, const rpc::ballot& promised,
                   const std::optional<std::string>& value) {
-  std::int64_t sure = wall - ledger::retention_margin;
-  if (promised.counter > sure) return false;
-  // Only promised to, and nothing came of it.
-  return !value || is_expired(*value, sure);
+  std::int64_t safe_wall = wall - ledger::retention_margin;
+  if (promised.counter > safe_wall) return false;
+  // Without a value, the register was only promised and the round was not completed.
+  return !value || is_expired(*value, safe_wall);
 }
 
-// The overdue registers of one step; `after` is moved on to where the next step begins, empty: there is none.
-std::vector<std::string> find_overdue(const replication::voter& voter, const runtime::handle& runtime,
+// Returns the keys of the removable registers among the records of one step. `after` is advanced to the start
+// of the next step, and is empty after the last one.
+std::vector<std::string> find_expired(const replication::voter& voter, const runtime::handle& runtime,
                                       int bucket, const char* kind, expiry_check is_expired,
                                       std::string& after) {
-  std::vector<std::string> overdue;
-  auto handle_record = [&](const std::string& record, const std::string& bytes) {
+  std::vector<std::string> expired;
+  auto check_record = [&](const std::string& record, const std::string& bytes) {
     auto content = replica_storage::unpack_cell(bytes);
     if (is_removable(is_expired, runtime.wall(), content.promised, content.accepted_value()))
-      overdue.push_back(record.substr(2));
+      expired.push_back(record.substr(2));
   };
   after = voter.records().for_each_record(bucket, std::string("k/") + kind, after, records_per_step,
-                                          handle_record);
-  return overdue;
+                                          check_record);
+  return expired;
 }
 
-task<int> remove_overdue(replication::voter voter, runtime::handle runtime, std::vector<std::string> overdue,
+// Removes the registers that are still removable when the voter processes them. Returns their number.
+task<int> remove_expired(replication::voter voter, runtime::handle runtime, std::vector<std::string> expired,
                          expiry_check is_expired) {
-  auto sure = [runtime, is_expired](const rpc::ballot& promised, const std::optional<std::string>& value) {
+  auto still_removable = [runtime, is_expired](const rpc::ballot& promised,
+                                               const std::optional<std::string>& value) {
     return is_removable(is_expired, runtime.wall(), promised, value);
   };
-  co_return co_await voter.remove_registers_if(std::move(overdue), sure);
+  co_return co_await voter.remove_registers_if(std::move(expired), still_removable);
 }
 
 task<> remove_expired_programs(replication::voter voter, runtime::handle runtime, logging::logger logger,
                                int bucket) {
   std::string after;
   do {
-    auto overdue = find_overdue(voter, runtime, bucket, ledger::program_prefix, is_expired_program, after);
-    int removed = co_await remove_overdue(voter, runtime, std::move(overdue), is_expired_program);
+    auto expired = find_expired(voter, runtime, bucket, ledger::program_prefix, is_expired_program, after);
+    int removed = co_await remove_expired(voter, runtime, std::move(expired), is_expired_program);
     logger.count("herontally_programs_expired_total", removed);
     co_await runtime.sleep(5 * millisecond);
   } while (!after.empty());
 }
 
-// Most stores hold none: then nothing is waited for.
+// Pauses only between steps, because most storage nodes hold no operation records.
 task<> remove_expired_operations(replication::voter voter, runtime::handle runtime, logging::logger logger,
                                  int bucket) {
   std::string after;
   do {
-    auto overdue =
-        find_overdue(voter, runtime, bucket, ledger::operation_prefix, is_expired_operation, after);
-    if (!overdue.empty()) {
-      int removed = co_await remove_overdue(voter, runtime, std::move(overdue), is_expired_operation);
+    auto expired =
+        find_expired(voter, runtime, bucket, ledger::operation_prefix, is_expired_operation, after);
+    if (!expired.empty()) {
+      int removed = co_await remove_expired(voter, runtime, std::move(expired), is_expired_operation);
       logger.count("herontally_operations_expired_total", removed);
     }
     if (!after.empty()) co_await runtime.sleep(5 * millisecond);
@@ -90,14 +96,14 @@
   std::string after;
   const std::string prefix = std::string("c/") + ledger::turn_prefix;
   do {
-    std::vector<std::string> overdue;
-    auto handle_record = [&](const std::string& record, std::int64_t kept_until) {
-      if (runtime.wall() - ledger::retention_margin > kept_until) overdue.push_back(record.substr(2));
+    std::vector<std::string> expired;
+    auto check_record = [&](const std::string& record, std::int64_t kept_until) {
+      if (runtime.wall() - ledger::retention_margin > kept_until) expired.push_back(record.substr(2));
     };
-    after = voter.records().for_each_attribute(bucket, prefix, after, records_per_step, handle_record);
-    if (!overdue.empty()) {
-      logger.count("herontally_turns_expired_total", static_cast<double>(overdue.size()));
-      co_await voter.remove_contents(std::move(overdue));
+    after = voter.records().for_each_attribute(bucket, prefix, after, records_per_step, check_record);
+    if (!expired.empty()) {
+      logger.count("herontally_turns_expired_total", static_cast<double>(expired.size()));
+      co_await voter.remove_contents(std::move(expired));
     }
     co_await runtime.sleep(5 * millisecond);
   } while (!after.empty());
