--- a/src/serialization/bounded_json.h
+++ b/src/serialization/bounded_json.h
@@ -1,8 +1,8 @@
-// Parses JSON documents that come from outside this process: operators, clients, engines, the platform.
+// Parses JSON from outside this process (operators, clients, engines, the platform) with a limit on nesting.
 //
-// The parser itself works without recursion, but copying, comparing and writing a document descend into it,
-// so that a document nested deeply enough exhausts the stack of whoever handles it next. Every such document
-// is parsed here.
+// The parser doesn't recurse, but copying, comparing and serializing a document do, so a document that is
+// nested deeply enough overflows the stack of the code that handles it next. All such documents must be
+// parsed here. Neither the length of the text nor the members of the document are checked.
 #pragma once
 #include <nlohmann/json.hpp>
 #include <optional>
@@ -10,13 +10,13 @@
 
 namespace herontally::serialization {
 
-// Levels of objects and arrays inside each other.
+// Maximum nesting of objects and arrays in a document from outside.
 constexpr int max_document_depth = 64;
 
-// Of a record that is stored, or sent between nodes: it may hold such a document.
+// Maximum nesting of a record that is stored or sent between nodes, which may contain such a document.
 constexpr int max_record_depth = max_document_depth + 16;
 
-// The document; nothing for a text that is no JSON, or is nested deeper than `max_depth`.
+// Returns the document, or nullopt if the text is not valid JSON or is nested deeper than `max_depth`.
 template <class Json = nlohmann::json>
 std::optional<Json> parse_bounded(std::string_view text, int max_depth = max_document_depth) {
   struct too_deep {};
@@ -33,7 +33,7 @@
   }
 }
 
-// The document if it is an object.
+// As `parse_bounded`, but also returns nullopt if the document is not an object.
 template <class Json = nlohmann::json>
 std::optional<Json> parse_bounded_object(std::string_view text, int max_depth = max_document_depth) {
   auto document = parse_bounded<Json>(text, max_depth);
@@ -41,7 +41,7 @@
   return document;
 }
 
-// A text member of an object; `missing` where there is none of that type.
+// Returns a string member of `object`, or `missing` if there is no such member or it is not a string.
 inline std::string text_member(const nlohmann::json& object, const char* name, const char* missing = "") {
   if (!object.is_object()) return missing;
   auto found = object.find(name);
--- a/src/serialization/enum_words.h
+++ b/src/serialization/enum_words.h
@@ -1,7 +1,7 @@
-// Words that stand for the values of an enumeration, in JSON and in messages alike.
+// Maps the values of an enumeration to their names in JSON and in messages, which are part of the formats.
 //
-// A function `enum_words(Enum)` beside the enumeration lists them. The first entry is the value that every
-// unknown word is read as; a value without a word is written as JSON null, and can't be sent in a message.
+// A function `enum_words(Enum)` in the enumeration's namespace lists them. An unknown name is read as the
+// value of the first entry. A value without a name is written as JSON null and can't be sent in a message.
 //
 //   enum class color { unrecognized, red };
 //   HERONTALLY_ENUM_WORDS(color, {{color::unrecognized, nullptr}, {color::red, "red"}})
@@ -16,7 +16,7 @@
 template <class Enum>
 struct enum_word {
   Enum value;
-  const char* word;  // nullptr: none
+  const char* word;  // the name; nullptr if the value has none
 };
 
 template <class Enum>
@@ -24,20 +24,20 @@
   enum_words(value);
 };
 
-// nullptr if the value has no word.
+// Returns the name of a value, or nullptr if it has none.
 template <has_enum_words Enum>
 const char* word_of(Enum value) {
   static constexpr auto words = enum_words(Enum{});
-  for (auto& each : words)
-    if (each.value == value) return each.word;
+  for (auto& entry : words)
+    if (entry.value == value) return entry.word;
   return nullptr;
 }
 
 template <has_enum_words Enum>
 Enum value_of_word(std::string_view word) {
   static constexpr auto words = enum_words(Enum{});
-  for (auto& each : words)
-    if (each.word && each.word == word) return each.value;
+  for (auto& entry : words)
+    if (entry.word && entry.word == word) return entry.value;
   return words.front().value;
 }
 
--- a/src/serialization/json_fields.h
+++ b/src/serialization/json_fields.h
@@ -1,26 +1,26 @@
-// Explicit JSON keys for the members of a struct.
+// Converts structs to and from JSON with an explicit key for each member. Does not limit nesting.
 //
 // A struct that is stored on disk or sent to another node lists its members and their keys in a static
-// `json_fields` function; conversion to and from JSON follows from the list. The keys are part of the data
-// format: a member may be renamed at any time, its key never.
+// `json_fields` function, from which the conversion is derived. Keys are part of the data format: a member
+// may be renamed, but its key must not change.
 //
 //   struct member {
 //     std::string name;
 //     static constexpr auto json_fields() { return std::make_tuple(json_field(&member::name, "name")); }
 //   };
 //
-// A field that came with a later version may be a `json_field_when_set`: it is written only where it differs
-// from its default, so that what earlier versions wrote stays as it was.
+// A field added by a later version can be a `json_field_when_set`. It is written only if it differs from its
+// default, so that documents without it are written as by earlier versions.
 //
-// Reading fails with nlohmann::json::out_of_range when a key is missing, unless the struct declares
-// `static constexpr bool missing_keys_allowed = true`: then a missing key leaves the member at its default.
+// Reading throws nlohmann::json::out_of_range if a key is missing. If the struct declares
+// `static constexpr bool missing_keys_allowed = true`, a missing key sets the member to its default instead.
 #pragma once
 #include <nlohmann/json.hpp>
 #include <tuple>
 
 namespace herontally::serialization {
 
-// One member and the key under which it is stored and sent.
+// A member and its JSON key.
 template <class Struct, class Value>
 struct json_field {
   Value Struct::*member;
@@ -29,7 +29,7 @@
       : member(member_pointer), key(json_key) {}
 };
 
-// One that is written only where it differs from its default.
+// A member that is written only if it differs from its default.
 template <class Struct, class Value>
 struct json_field_when_set {
   Value Struct::*member;
@@ -38,7 +38,7 @@
       : member(member_pointer), key(json_key) {}
 };
 
-// Lists members whose keys are their names, inside the struct.
+// Defines `json_fields` inside a struct whose members' names are their keys and must not change.
 #define HERONTALLY_JSON_FIELD(member) ::herontally::serialization::json_field(&json_struct::member, #member),
 #define HERONTALLY_JSON_FIELDS(Struct, ...)                                                           \
   static constexpr auto json_fields() {                                                               \
