--- a/src/consensus/proposer.cc
+++ b/src/consensus/proposer.cc
@@ -1,3 +1,4 @@
+// Rounds, changes and reads of a proposer, and its search for a newer view.
 #include "consensus/proposer.h"
 
 #include "consensus/proposer_state.h"
@@ -11,18 +12,18 @@
 
 namespace {
 
-// Between two searches for a view of which the first found nothing.
-constexpr microseconds shortest_search_pause = 50 * millisecond, longest_search_pause = 400 * millisecond;
-// How long a search waits for its answers; one that comes later is still learned from.
+// Exponential backoff after a search for a view that found nothing.
+constexpr microseconds min_search_backoff = 50 * millisecond, max_search_backoff = 400 * millisecond;
+// How long a search waits for replies. A view in a later reply is still learned.
 constexpr microseconds search_timeout = 200 * millisecond;
-// Nodes that one search asks; there are many more stores than voters in a large fleet.
+// Most nodes that one search asks, since a large fleet has many more storage nodes than voters.
 constexpr std::size_t max_searched_nodes = 10;
-// How much longer than its own timeout a voter's reply is waited for.
+// Added to a request's timeout when waiting for its reply in the mailbox.
 constexpr microseconds reply_grace = 50 * millisecond;
 
 struct voter_reply {
   std::string voter;
-  std::optional<rpc::vote_reply> reply;  // nothing: none came
+  std::optional<rpc::vote_reply> reply;  // nullopt if the call failed or timed out
 };
 
 task<> request_vote(rpc::endpoint endpoint, std::string address, rpc::vote_request request, std::string voter,
@@ -34,9 +35,9 @@
   replies.push(std::move(received));
 }
 
-// Of the replies to a prepare or a read.
+// The accepted value that the replies to a prepare or a read name.
 struct accepted_value {
-  std::optional<std::string> value;  // under the highest accepted ballot
+  std::optional<std::string> value;  // the one with the highest accepted ballot
   bool agreed = true;                // all replies name the same ballot
 };
 
@@ -51,8 +52,8 @@
   return found;
 }
 
-// Colliding proposers draw lots, so that one of them gets through.
-task<> back_off(runtime::handle runtime, int retry) {
+// Waits for a random time that grows with the retries, so that one of several colliding proposers succeeds.
+task<> sleep_before_retry(runtime::handle runtime, int retry) {
   constexpr microseconds base = 10 * millisecond, longest = 160 * millisecond, least = 2 * millisecond;
   microseconds spread = std::min(base << std::min(retry, 4), longest);
   co_await runtime.sleep(least + static_cast<microseconds>(runtime.draw(static_cast<std::uint64_t>(spread))));
@@ -73,7 +74,7 @@
 proposer::state::state(rpc::endpoint from, std::string name)
     : endpoint(std::move(from)),
       group(std::move(name)),
-      // Random for each start: never the same as before a restart.
+      // Random at each start, so that it differs from the identity before a restart.
       identity(static_cast<std::int64_t>(endpoint.runtime().random()() >> 1)),
       window(endpoint.runtime()) {}
 
@@ -81,7 +82,6 @@
   if (seen.group == group && seen.number > current.number) current = seen;
 }
 
-// Sends to every voter at once and returns as soon as a quorum said ok, or once it no longer can.
 task<round_result> proposer::state::run_round(rpc::vote_request request, view used, microseconds deadline) {
   auto self = shared_from_this();
   round_result result;
@@ -102,7 +102,7 @@
     auto next = co_await replies.pop(timeout + reply_grace);
     if (!next) break;
     if (!next->reply) continue;
-    self->note_reply(used, next->voter, *next->reply, result);
+    self->process_reply(used, next->voter, *next->reply, result);
     if (next->reply->status != rpc::reply_status::ok) continue;
     agreeing.insert(next->voter);
     result.replies.push_back(std::move(*next->reply));
@@ -112,16 +112,16 @@
   co_return result;
 }
 
-void proposer::state::note_reply(const view& used, const std::string& voter, const rpc::vote_reply& reply,
-                                 round_result& result) {
-  // A refusal still tells how far the others are.
+void proposer::state::process_reply(const view& used, const std::string& voter, const rpc::vote_reply& reply,
+                                    round_result& result) {
+  // Refusals also carry the ballots that the voter knows.
   result.highest = std::max({result.highest, reply.promised, reply.accepted});
   switch (reply.status) {
     case rpc::reply_status::view_mismatch: {
       auto installed = view_from_text(reply.view);
       learn(installed);
       result.view_changed = result.view_changed || current.number > used.number;
-      // A voter that missed an installation catches up from any proposer that knows the chosen view.
+      // Any proposer that knows the chosen view sends it to a voter that missed its installation.
       if (installed.number < used.number) send_view(used, voter);
       break;
     }
@@ -143,11 +143,11 @@
   auto self = shared_from_this();
   rpc::install_view_request request{id, to_text(chosen)};
   co_await self->endpoint.call(std::move(address), std::move(request), round_timeout);
-  self->views_under_way.erase({id, chosen.number});
+  self->views_in_flight.erase({id, chosen.number});
 }
 
 void proposer::state::send_view(const view& chosen, const std::string& id) {
-  if (!views_under_way.insert({id, chosen.number}).second) return;
+  if (!views_in_flight.insert({id, chosen.number}).second) return;
   for (auto& voter : chosen.all_voters())
     if (voter.id == id) endpoint.runtime().spawn(install_view(voter.address, id, chosen));
 }
@@ -157,18 +157,18 @@
   auto runtime = self->endpoint.runtime();
   if (!self->seeds) co_return;
   runtime::slot<bool> ended(runtime);
-  self->search.waiting.push_back(ended);
+  self->search.waiters.push_back(ended);
   self->start_search();
   auto left = std::max<microseconds>(0, deadline - runtime.now());
   auto timer = runtime.after(left, [ended] { ended.set(false); });
   co_await ended.wait();
   runtime.cancel(timer);
-  std::erase_if(self->search.waiting, [](auto& waiter) { return waiter.is_set(); });
+  std::erase_if(self->search.waiters, [](auto& waiter) { return waiter.is_set(); });
 }
 
 void proposer::state::start_search() {
-  if (search.under_way || !seeds) return;
-  search.under_way = true;
+  if (search.running || !seeds) return;
+  search.running = true;
   endpoint.runtime().spawn(search_view());
 }
 
@@ -184,7 +184,7 @@
   return addresses;
 }
 
-task<> proposer::state::ask_view(std::string address, runtime::mailbox<bool> answered) {
+task<> proposer::state::request_view(std::string address, runtime::mailbox<bool> answered) {
   auto self = shared_from_this();
   rpc::identify_request request{self->group};
   auto result = co_await self->endpoint.call(std::move(address), std::move(request), round_timeout);
@@ -197,15 +197,16 @@
   auto self = shared_from_this();
   auto runtime = self->endpoint.runtime();
   self->identity_refused = false;
-  // What was in vain a while ago says nothing of now.
-  if (runtime.now() > self->search.earliest + longest_search_pause) self->search.pause = 0;
-  if (self->search.earliest > runtime.now()) co_await runtime.sleep(self->search.earliest - runtime.now());
+  // The backoff starts over if the last search ended long ago.
+  if (runtime.now() > self->search.earliest_start + max_search_backoff) self->search.backoff = 0;
+  if (self->search.earliest_start > runtime.now())
+    co_await runtime.sleep(self->search.earliest_start - runtime.now());
   auto addresses = self->addresses_to_search();
   std::int64_t known = self->current.number;
   auto deadline = runtime.now() + search_timeout;
   runtime::mailbox<bool> answered(runtime);
-  for (auto& address : addresses) runtime.spawn(self->ask_view(address, answered));
-  // One newer view is enough to go on with; voters correct it if there is a newer one still.
+  for (auto& address : addresses) runtime.spawn(self->request_view(address, answered));
+  // One newer view is enough: if there is an even newer one, the voters return it with their refusals.
   for (std::size_t received = 0; received < addresses.size() && self->current.number == known; ++received) {
     auto answer = co_await answered.pop(std::max<microseconds>(0, deadline - runtime.now()));
     if (!answer) break;
@@ -215,18 +216,18 @@
 
 void proposer::state::end_search(bool found) {
   identity_refused = false;
-  search.under_way = false;
-  search.pause = found ? 0 : std::clamp(2 * search.pause, shortest_search_pause, longest_search_pause);
-  search.earliest = endpoint.runtime().now() + search.pause;
-  for (auto& waiter : std::exchange(search.waiting, {})) waiter.set(true);
+  search.running = false;
+  search.backoff = found ? 0 : std::clamp(2 * search.backoff, min_search_backoff, max_search_backoff);
+  search.earliest_start = endpoint.runtime().now() + search.backoff;
+  for (auto& waiter : std::exchange(search.waiters, {})) waiter.set(true);
 }
 
 rpc::vote_request proposer::state::prepare_request(const std::string& key, bool urgent) {
   rpc::vote_request request;
   request.phase = rpc::vote_phase::prepare;
   request.key = key;
-  // At least the wall clock, so that a record which one store has removed as expired and another still holds
-  // loses to whatever is written after it.
+  // The counter is at least the wall clock. One storage node may have removed a record as expired while
+  // another one still holds it; the old record's ballot must then be lower than that of any later write.
   counter = std::max<std::int64_t>({counter, highest_seen, endpoint.runtime().wall()}) + 1;
   request.ballot = {counter, identity};
   request.urgent = urgent;
@@ -235,10 +236,10 @@
 
 task<std::optional<change_result>> proposer::state::try_change(std::string key, mutator next, bool urgent,
                                                                microseconds deadline,
-                                                               std::shared_ptr<attempt> so_far) {
+                                                               std::shared_ptr<change_progress> progress) {
   auto self = shared_from_this();
-  auto unfinished = [so_far](change_status otherwise) {
-    return change_result{so_far->may_be_written ? change_status::unknown : otherwise, std::nullopt};
+  auto unfinished = [progress](change_status otherwise) {
+    return change_result{progress->may_be_written ? change_status::unknown : otherwise, std::nullopt};
   };
   view used = self->current;
   auto request = self->prepare_request(key, urgent);
@@ -246,25 +247,25 @@
   self->highest_seen = std::max(self->highest_seen, prepared.highest.counter);
   if (!prepared.quorum) {
     if (prepared.disk_full) co_return unfinished(change_status::disk_full);
-    so_far->refresh_first = !prepared.ballot_outdated && !prepared.view_changed;
+    progress->refresh_view_first = !prepared.ballot_outdated && !prepared.view_changed;
     co_return std::nullopt;
   }
   auto current = highest_accepted(prepared.replies);
   auto proposed = next(current.value);
-  // An unchanged value that a quorum holds under one ballot is agreed already.
+  // If the value stays unchanged and a quorum holds it under one ballot, it is already agreed.
   if (!proposed && (current.agreed || !current.value))
     co_return change_result{change_status::declined, current.value};
   request.phase = rpc::vote_phase::accept;
   request.promise_next = true;
   request.view = used.number;
   request.value = proposed ? *proposed : *current.value;
-  so_far->may_be_written = so_far->may_be_written || proposed.has_value();
+  progress->may_be_written = progress->may_be_written || proposed.has_value();
   view accept_view = broken("view_of_prepare") ? self->current : used;
   auto accepted = co_await self->run_round(request, accept_view, deadline);
   self->highest_seen = std::max(self->highest_seen, accepted.highest.counter);
   if (accepted.quorum) {
-    if (self->current.number == used.number) self->keep_promise(key, request, accepted);
-    self->count_missed(accepted);
+    if (self->current.number == used.number) self->cache_promised_ballot(key, request, accepted);
+    self->count_missed_voters(accepted);
     co_return change_result{proposed ? change_status::committed : change_status::declined, request.value};
   }
   if (accepted.disk_full) co_return change_result{change_status::unknown, std::nullopt};
@@ -274,27 +275,27 @@
 task<change_result> proposer::change(std::string key, mutator next, microseconds deadline, bool urgent) {
   auto self = state_;
   auto runtime = self->endpoint.runtime();
-  auto so_far = std::make_shared<state::attempt>();
-  auto early = co_await self->change_by_promise(key, next, urgent, deadline, so_far);
-  if (early) co_return change_result{change_status::committed, early};
+  auto progress = std::make_shared<state::change_progress>();
+  auto committed = co_await self->change_by_fast_path(key, next, urgent, deadline, progress);
+  if (committed) co_return change_result{change_status::committed, committed};
   for (int retry = 0; runtime.now() < deadline; ++retry) {
     if (retry > 0) {
-      co_await back_off(runtime, retry);
+      co_await sleep_before_retry(runtime, retry);
       self->endpoint.logger().count("herontally_register_collisions_total");
     }
-    // While the others make a quorum, a voter that lost its disk is no reason to wait for the view that
-    // replaces it.
-    bool without_quorum = self->identity_refused && so_far->refresh_first;
-    if (self->current.voters.empty() || without_quorum)
+    // A voter that lost its disk is replaced in a later view. As long as the other voters make a quorum, the
+    // change doesn't wait for that view: the search runs in the background.
+    bool wait_for_view = self->identity_refused && progress->refresh_view_first;
+    if (self->current.voters.empty() || wait_for_view)
       co_await refresh_view(deadline);
     else if (self->identity_refused)
       self->start_search();
-    so_far->refresh_first = false;
-    auto result = co_await self->try_change(key, next, urgent, deadline, so_far);
+    progress->refresh_view_first = false;
+    auto result = co_await self->try_change(key, next, urgent, deadline, progress);
     if (result) co_return *result;
-    if (so_far->refresh_first && retry > 0) co_await refresh_view(deadline);
+    if (progress->refresh_view_first && retry > 0) co_await refresh_view(deadline);
   }
-  co_return change_result{so_far->may_be_written ? change_status::unknown : change_status::unreachable,
+  co_return change_result{progress->may_be_written ? change_status::unknown : change_status::unreachable,
                           std::nullopt};
 }
 
@@ -309,9 +310,10 @@
     auto current = highest_accepted(round.replies);
     if (current.agreed) co_return change_result{change_status::declined, current.value};
   }
-  // The replicas differ: finishing the ballot decides which value stands.
-  auto leave = [](const std::optional<std::string>&) { return std::nullopt; };
-  co_return co_await change(std::move(key), leave, deadline);
+  // The replicas differ, or no quorum replied: a full change that leaves the value decides which one is
+  // agreed.
+  auto keep_value = [](const std::optional<std::string>&) { return std::nullopt; };
+  co_return co_await change(std::move(key), keep_value, deadline);
 }
 
 }  // namespace herontally::consensus
--- a/src/consensus/proposer_contents.cc
+++ b/src/consensus/proposer_contents.cc
@@ -1,4 +1,4 @@
-// Immutable contents, stored at a quorum under their digests and read back as chains.
+// Immutable contents: stores them at a quorum under their digests and reads them back as chains.
 #include "consensus/proposer_state.h"
 
 namespace herontally::consensus {
@@ -9,15 +9,15 @@
 
 namespace {
 
-constexpr microseconds retry_pause = 20 * millisecond;
+constexpr microseconds retry_delay = 20 * millisecond;
 
 struct put_reply {
   std::string voter;
   rpc::reply_status status = rpc::reply_status::none;
 };
 
-task<> put_at(rpc::endpoint endpoint, std::string address, rpc::put_content_request request,
-              send_window window, runtime::mailbox<put_reply> replies) {
+task<> put_content_at(rpc::endpoint endpoint, std::string address, rpc::put_content_request request,
+                      send_window window, runtime::mailbox<put_reply> replies) {
   std::string voter = request.voter;
   std::size_t bytes = request.body.size();
   window.sent(voter, bytes);
@@ -30,8 +30,9 @@
   replies.push({voter, reply ? reply->status : rpc::reply_status::none});
 }
 
-// A voter whose window is full is left out while the others make a quorum: repair brings it what it missed.
-std::vector<voter_info> receivers_of(const view& used, const send_window& window, bool first_try) {
+// The voters to send a content to. On the first try a voter whose send window is full is skipped if the
+// others make a quorum; repair brings it the content later.
+std::vector<voter_info> select_receivers(const view& used, const send_window& window, bool first_try) {
   std::vector<voter_info> ready;
   for (auto& voter : used.all_voters())
     if (!window.is_full(voter.id)) ready.push_back(voter);
@@ -48,12 +49,12 @@
     if (self->current.voters.empty() || retry > 0) co_await refresh_view(deadline);
     view used = self->current;
     runtime::mailbox<put_reply> replies(runtime);
-    auto receivers = receivers_of(used, self->window, retry == 0);
+    auto receivers = select_receivers(used, self->window, retry == 0);
     if (receivers.size() < used.all_voters().size())
       self->endpoint.logger().count("herontally_late_voters_left_out_total");
     for (auto& voter : receivers) {
       rpc::put_content_request request{voter.id, digest, body, urgent, used.number};
-      runtime.spawn(put_at(self->endpoint, voter.address, std::move(request), self->window, replies));
+      runtime.spawn(put_content_at(self->endpoint, voter.address, std::move(request), self->window, replies));
     }
     std::set<std::string> stored;
     auto has = [&stored](const std::string& id) { return stored.contains(id); };
@@ -61,13 +62,13 @@
       auto reply = co_await replies.pop(std::max<microseconds>(0, deadline - runtime.now()));
       if (!reply) break;
       if (reply->status == rpc::reply_status::ok) stored.insert(reply->voter);
-      // It may have missed the installation; a voter that is further on ignores it.
+      // The voter may have missed the installation of this view. One with a newer view ignores it.
       if (reply->status == rpc::reply_status::view_mismatch) self->send_view(used, reply->voter);
-      // Each of these had this view when it took the content. So a reconfiguration that lets a joining voter
-      // catch up after that, from a majority that has the next view, lists the content.
+      // Each of these voters had this view when it stored the content. A joining voter catches up from a
+      // majority that already has the next view, so that at least one of its sources lists the content.
       if (used.quorum(has)) co_return true;
     }
-    co_await runtime.sleep(retry_pause);
+    co_await runtime.sleep(retry_delay);
   }
   co_return false;
 }
@@ -82,32 +83,32 @@
   if (self->current.voters.empty()) co_await refresh_view(deadline);
   auto voters = self->current.all_voters();
   std::size_t next = voters.empty() ? 0 : runtime.draw(voters.size());
-  std::size_t fruitless = 0;
+  std::size_t attempts_without_progress = 0;
   while (!digest.empty() && bodies.size() < length) {
-    // Every voter was tried twice without one more body: the chain can't be had now.
-    if (fruitless >= voters.size() * 2 || runtime.now() >= deadline) co_return std::nullopt;
+    // Give up once every voter was asked twice without another body being read.
+    if (attempts_without_progress >= voters.size() * 2 || runtime.now() >= deadline) co_return std::nullopt;
     auto& voter = voters[next % voters.size()];
     auto limit = static_cast<std::int64_t>(length - bodies.size());
     rpc::read_chain_request request{voter.id, digest, limit, self->current.number};
     auto result = co_await self->endpoint.call(voter.address, std::move(request), round_timeout);
     ++next;
-    ++fruitless;
+    ++attempts_without_progress;
     auto* reply = std::get_if<rpc::read_chain_reply>(&result);
     if (!reply) continue;
     for (auto& body : reply->bodies) {
-      // A body that isn't what its digest says is as good as none.
+      // A body that doesn't match its digest is treated as missing.
       if (bodies.size() == length || !valid(digest, body)) break;
       digest = previous(body);
       bodies.push_back(std::move(body));
-      fruitless = 0;
+      attempts_without_progress = 0;
     }
   }
   if (bodies.size() != length || !digest.empty()) co_return std::nullopt;
   co_return bodies;
 }
 
-// Anti-entropy repair brings these voters what they missed.
-void proposer::state::count_missed(const round_result& accepted) {
+// Anti-entropy repair later brings the value to these voters.
+void proposer::state::count_missed_voters(const round_result& accepted) {
   if (accepted.missed == 0) return;
   endpoint.logger().count("herontally_register_missed_total", static_cast<double>(accepted.missed));
 }
--- a/src/consensus/proposer_state.h
+++ b/src/consensus/proposer_state.h
@@ -1,4 +1,4 @@
-// Internal to the consensus package: one proposer's state and the results of its rounds.
+// State of one proposer and the results of its rounds. Internal to the consensus package.
 #pragma once
 #include <unordered_map>
 
@@ -7,97 +7,110 @@
 
 namespace herontally::consensus {
 
-// Long enough for a slow disk sync, short enough that a frozen voter doesn't cost a request its deadline.
+// Longest wait for one request to a voter: long enough for a slow disk sync, short enough that a frozen voter
+// doesn't use up the deadline of a client request.
 constexpr runtime::microseconds round_timeout = 600 * runtime::millisecond;
 
-// What came of one request to every voter.
+// Result of sending one request to every voter of a view.
 struct round_result {
-  bool quorum = false;           // a quorum said ok
-  bool ballot_outdated = false;  // some voter has promised a higher ballot
-  bool view_changed = false;     // some voter has a newer view
-  bool disk_full = false;
-  rpc::ballot highest;                   // that any voter named
-  std::vector<rpc::vote_reply> replies;  // those that said ok
-  std::size_t missed = 0;                // voters that had not said ok when the round ended
+  bool quorum = false;                   // a quorum replied ok
+  bool ballot_outdated = false;          // some voter has promised a higher ballot
+  bool view_changed = false;             // a newer view than that of the round is known now
+  bool disk_full = false;                // some voter has no disk capacity
+  rpc::ballot highest;                   // highest ballot in any reply
+  std::vector<rpc::vote_reply> replies;  // those with status ok
+  std::size_t missed = 0;                // voters that had not replied ok when the round ended
 };
 
-// What this proposer committed last under a key, and the ballot that a quorum has promised it for the next
-// time.
+// The value that this proposer committed last under a key, and the ballot that a quorum promised to it for
+// its next change.
 struct promised_ballot {
   rpc::ballot next;
-  std::int64_t view = 0;
+  std::int64_t view = 0;  // number of the view under which it was promised
   std::string value;
 };
 
-// Promised ballots by key, the least recently used given up in halves: entries live in the young generation,
-// which takes the place of the old one when it is full.
-class promised_ballots {
+// Bounded cache of promised ballots by key. Entries are added to the young generation; when that is full it
+// replaces the old generation, whose entries are evicted.
+class promised_ballot_cache {
  public:
   void put(const std::string& key, promised_ballot entry);
-  // Removes and returns the entry: a promise can be used once.
+  // Removes and returns the entry, since a promised ballot can be used only once. Nullopt if there is none.
   std::optional<promised_ballot> take(const std::string& key);
 
  private:
   std::unordered_map<std::string, promised_ballot> young_, old_;
 };
 
-// The search for a newer view. There is one at a time, for all that wait for a view: in an outage every
-// change of every node would ask all voters otherwise, again and again.
+// State of the search for a newer view. All callers that wait for a view share one search; otherwise, in an
+// outage of the voters, every change on every node would ask all voters again and again.
 struct view_search {
-  bool under_way = false;
-  std::vector<runtime::slot<bool>> waiting;  // set when the search ends
-  runtime::microseconds earliest = 0;        // when the next one may begin
-  runtime::microseconds pause = 0;           // after the last one; it grows while nothing is found
+  bool running = false;
+  std::vector<runtime::slot<bool>> waiters;  // set when the search ends
+  runtime::microseconds earliest_start = 0;  // steady time before which the next search must not start
+  runtime::microseconds backoff = 0;  // minimum delay after the last search; grows while none finds a view
 };
 
+// Shared by the copies of a proposer.
 struct proposer::state : std::enable_shared_from_this<proposer::state> {
   rpc::endpoint endpoint;
   std::string group;
   view current;
   std::function<std::vector<std::string>()> seeds;
   std::int64_t identity;          // second part of this proposer's ballots
-  std::int64_t counter = 0;       // of its last ballot
-  std::int64_t highest_seen = 0;  // counter of any ballot that a voter named
+  std::int64_t counter = 0;       // counter of its last ballot
+  std::int64_t highest_seen = 0;  // highest counter of a ballot in a voter's reply
   bool identity_refused = false;  // a voter has another identity than the view says
   view_search search;
-  // Voters that are being sent a view, with its number: however many rounds meet the old one, it goes out
-  // once.
-  std::set<std::pair<std::string, std::int64_t>> views_under_way;
+  // Installations in progress, as (voter id, view number). Many rounds may find that the same voter has an
+  // old view; the new one is sent to it once at a time.
+  std::set<std::pair<std::string, std::int64_t>> views_in_flight;
   send_window window;
-  promised_ballots promised;
+  promised_ballot_cache promised;
 
   state(rpc::endpoint from, std::string name);
   void learn(const view& seen);
+  // Sends the request to all voters of `used`. Returns once a quorum replied ok, or after the last reply or
+  // the timeout.
   runtime::task<round_result> run_round(rpc::vote_request request, view used, runtime::microseconds deadline);
-  void note_reply(const view& used, const std::string& voter, const rpc::vote_reply& reply,
-                  round_result& result);
-  // Begins a search for a newer view, unless one is under way.
+  // Adds a voter's reply to the result of the round, and learns or sends a view if the two have different
+  // ones.
+  void process_reply(const view& used, const std::string& voter, const rpc::vote_reply& reply,
+                     round_result& result);
+  // Starts a search for a newer view, unless one is running or there are no seeds.
   void start_search();
   runtime::task<> search_view();
-  // Learns the view that this node has installed.
-  runtime::task<> ask_view(std::string address, runtime::mailbox<bool> answered);
-  // The voters of the known view, and others drawn from the seeds.
+  // Asks a node for its installed view and learns it. Pushes to `answered` whether the node replied.
+  runtime::task<> request_view(std::string address, runtime::mailbox<bool> answered);
+  // Addresses of the voters of the known view and of randomly chosen seeds.
   std::vector<std::string> addresses_to_search();
+  // Sets the backoff and wakes the callers that wait for the search.
   void end_search(bool found);
+  // A prepare request with a new ballot, higher than all ballots known here.
   rpc::vote_request prepare_request(const std::string& key, bool urgent);
   // Sends the view to a voter that missed its installation.
   void send_view(const view& chosen, const std::string& id);
   runtime::task<> install_view(std::string address, std::string id, view chosen);
 
-  // One attempt of a change with both rounds. Nothing: try again.
-  struct attempt {
-    bool may_be_written = false;
-    bool refresh_first = false;  // before the next attempt
+  // State of one change across its attempts.
+  struct change_progress {
+    bool may_be_written = false;      // an accept with the new value was sent
+    bool refresh_view_first = false;  // search for a newer view before the next attempt
   };
+  // Makes one attempt at a change, with both rounds. Nullopt if the caller should try again.
   runtime::task<std::optional<change_result>> try_change(std::string key, mutator next, bool urgent,
                                                          runtime::microseconds deadline,
-                                                         std::shared_ptr<attempt> so_far);
-  // Uses up the promise for this key, if there is one. Nothing: both rounds are needed.
-  runtime::task<std::optional<std::string>> change_by_promise(std::string key, mutator next, bool urgent,
-                                                              runtime::microseconds deadline,
-                                                              std::shared_ptr<attempt> so_far);
-  void keep_promise(const std::string& key, const rpc::vote_request& request, const round_result& accepted);
-  void count_missed(const round_result& accepted);
+                                                         std::shared_ptr<change_progress> progress);
+  // Makes one attempt with the accept round alone, using up the ballot that was promised for this key.
+  // Returns the committed value, or nullopt if both rounds are needed.
+  runtime::task<std::optional<std::string>> change_by_fast_path(std::string key, mutator next, bool urgent,
+                                                                runtime::microseconds deadline,
+                                                                std::shared_ptr<change_progress> progress);
+  // Caches the ballot that all ok replies to the accept promised for the next change of the key.
+  void cache_promised_ballot(const std::string& key, const rpc::vote_request& request,
+                             const round_result& accepted);
+  // Counts in a metric the voters that had not accepted when the round ended.
+  void count_missed_voters(const round_result& accepted);
 };
 
 }  // namespace herontally::consensus
--- a/src/consensus/send_window.cc
+++ b/src/consensus/send_window.cc
@@ -4,10 +4,11 @@
 
 namespace herontally::consensus {
 
-// With many proposers to a voter this bounds what is queued there: 64 of them leave 6 MB.
+// Limit for one proposer and voter. With many proposers it bounds what is queued at the voter: 64 proposers
+// leave 6 MB there.
 constexpr std::size_t max_in_flight_bytes = 96 << 10;
 // How long a message that timed out may still be queued at the voter.
-constexpr runtime::microseconds late_message_time = 2 * runtime::second;
+constexpr runtime::microseconds late_message_lifetime = 2 * runtime::second;
 
 using byte_counts = std::map<std::string, std::size_t>;
 
@@ -15,7 +16,7 @@
   auto found = counts.find(voter);
   if (found == counts.end()) return;
   found->second -= std::min(found->second, bytes);
-  // Voters come and go with their identities.
+  // Identities of replaced voters are never used again, so their entries would accumulate.
   if (found->second == 0) counts.erase(found);
 }
 
@@ -30,7 +31,7 @@
 
 void send_window::timed_out(const std::string& voter, std::size_t bytes) {
   std::weak_ptr<byte_counts> weak = in_flight_;
-  runtime_.after(late_message_time, [weak, voter, bytes] {
+  runtime_.after(late_message_lifetime, [weak, voter, bytes] {
     if (auto counts = weak.lock()) subtract(*counts, voter, bytes);
   });
 }
--- a/src/consensus/view.cc
+++ b/src/consensus/view.cc
@@ -13,11 +13,11 @@
 }
 
 std::vector<voter_info> difference(const std::vector<voter_info>& voters,
-                                   const std::vector<voter_info>& without) {
-  std::vector<voter_info> rest;
+                                   const std::vector<voter_info>& excluded) {
+  std::vector<voter_info> remaining;
   for (auto& voter : voters)
-    if (!contains(without, voter.id)) rest.push_back(voter);
-  return rest;
+    if (!contains(excluded, voter.id)) remaining.push_back(voter);
+  return remaining;
 }
 
 std::size_t majority_size(const std::vector<voter_info>& voters) { return voters.size() / 2 + 1; }
@@ -36,7 +36,7 @@
   try {
     return document.get<view>();
   } catch (const nlohmann::json::exception&) {
-    // A peer's text that is no view counts as none.
+    // A text from a peer that is no valid view is treated as no view.
     return {};
   }
 }
--- a/src/consensus/view.h
+++ b/src/consensus/view.h
@@ -1,5 +1,7 @@
-// The voters of a replicated register group: a numbered set and, while the group is being reconfigured, the
-// set before it. Views are themselves agreed in a register and follow each other by number.
+// Views: the voter sets of a replicated register group. A view is a numbered set of voters and, while the
+// group is being reconfigured (joint consensus), the previous set as well. Views are agreed in a register,
+// each one with the number after that of its predecessor. This file defines the type and its quorums; the
+// reconfiguration package chooses and installs views.
 //
 // Invariant: a decision under a view needs a majority of its voters and, while it is joint, a majority of the
 // previous voters as well. So decisions under consecutive views always share a voter.
@@ -13,10 +15,11 @@
 
 // One voter of a group.
 struct voter_info {
-  // A random name made with the data folder: an empty disk never has its predecessor's identity.
+  // A random name that is created with the data directory, so that a voter whose disk was emptied never has
+  // the identity that it had before.
   std::string id;
-  std::string address;  // ip:port of the inner protocol
-  std::string node, zone;
+  std::string address;     // ip:port for requests between nodes
+  std::string node, zone;  // names of the voter's node and of the node's zone
   bool operator==(const voter_info&) const = default;
 
   static constexpr auto json_fields() {
@@ -26,16 +29,17 @@
   }
 };
 
+// Whether a voter with this identity is in the set.
 bool contains(const std::vector<voter_info>& voters, const std::string& id);
-// Whether both sets have the same identities, in whatever order.
+// Whether both sets have the same identities, in any order.
 bool same_voters(const std::vector<voter_info>& left, const std::vector<voter_info>& right);
-// Voters of the first set that the second one lacks.
+// Voters of the first set whose identities aren't in the second set.
 std::vector<voter_info> difference(const std::vector<voter_info>& voters,
-                                   const std::vector<voter_info>& without);
+                                   const std::vector<voter_info>& excluded);
 // The fewest voters that make a majority of the set.
 std::size_t majority_size(const std::vector<voter_info>& voters);
 
-// `has(id)` tells whether a voter counts; true when those that do are a majority of the set.
+// Whether the voters for which `has(id)` is true are a majority of the set.
 template <class Has>
 bool has_majority(const std::vector<voter_info>& voters, Has has) {
   std::size_t count = 0;
@@ -43,12 +47,14 @@
   return count >= majority_size(voters);
 }
 
+// A numbered voter set of a group. The default view, with number 0, stands for none.
 struct view {
   std::string group;  // "core" or "store"
   std::int64_t number = 0;
   std::vector<voter_info> voters;
   std::vector<voter_info> previous_voters;  // not empty while the view is joint
-  // Of the singleton role under which it was proposed; a view with a lower epoch can't follow.
+  // Epoch of the singleton role under which the view was proposed (0: none). It never decreases from one view
+  // to the next, so that a proposer whose role has passed to another node can't change the view any more.
   std::int64_t epoch = 0;
   bool operator==(const view&) const = default;
 
@@ -60,14 +66,14 @@
                            json_field(&view::epoch, "epoch"));
   }
 
-  // Being reconfigured: both sets of voters count.
+  // Whether the group is being reconfigured, when decisions need a majority of both sets.
   bool joint() const { return !previous_voters.empty(); }
   bool includes(const std::string& id) const { return contains(voters, id) || contains(previous_voters, id); }
   std::vector<voter_info> joining() const { return difference(voters, previous_voters); }
   std::vector<voter_info> leaving() const { return difference(previous_voters, voters); }
-  // Everyone that requests go to, each once.
+  // The voters of both sets, each once: the receivers of a round's requests.
   std::vector<voter_info> all_voters() const;
-  // Whether the voters for which `has(id)` is true may decide.
+  // Whether the voters for which `has(id)` is true are a quorum.
   template <class Has>
   bool quorum(Has has) const {
     if (voters.empty()) return false;
@@ -75,8 +81,9 @@
   }
 };
 
+// The view as JSON, as it is stored and sent.
 std::string to_text(const view& content);
-// A default view, with number 0, for a text that is no view.
+// Parses to_text's output. A text that is no view gives the default view, with number 0.
 view view_from_text(const std::string& text);
 
 }  // namespace herontally::consensus
--- a/tests/consensus_test.cc
+++ b/tests/consensus_test.cc
@@ -1,4 +1,5 @@
-// The register over simulated storage machines: agreement, identity, moves, repair.
+// Replicated registers on simulated storage machines: agreement, voter identity, reconfiguration, catch-up
+// and repair.
 #include <catch2/catch.hpp>
 
 #include "replica_group_fixture.h"
@@ -20,7 +21,7 @@
   };
 }
 
-// Views follow each other in a register, which a move reads and writes.
+// Writes the group's view to the register that a reconfiguration reads and changes.
 void record_current_view(group& site, consensus::proposer writer) {
   auto text = consensus::to_text(writer.current_view());
   auto key = reconfiguration::view_register_key("store");
@@ -29,29 +30,29 @@
 
 }  // namespace
 
-TEST_CASE("what a writer was told is settled stays, through kills, cuts and racing writers") {
-  int settled_in_all = 0;
+TEST_CASE("committed changes survive kills, network cuts and concurrent writers") {
+  int total_committed = 0;
   for (std::uint64_t seed = 1; seed <= 25; ++seed) {
     group site(seed);
     site.begin();
-    auto settled = std::make_shared<std::vector<std::string>>();
+    auto committed = std::make_shared<std::vector<std::string>>();
     for (int number = 0; number < 3; ++number) {
       auto name = "w" + std::to_string(number);
       site.world.machine(name, "z");
-      auto maker = site.writer(name);
+      auto writer = site.writer(name);
       site.world.runtime_of(name).spawn(
-          [](consensus::proposer maker, std::string name,
+          [](consensus::proposer writer, std::string name,
              std::shared_ptr<std::vector<std::string>> done) -> runtime::task<> {
-            auto runtime = maker.endpoint().runtime();
+            auto runtime = writer.endpoint().runtime();
             for (int each = 0; each < 8; ++each) {
               std::string word = "<" + name + "." + std::to_string(each) + ">";
               consensus::mutator add = append_once(word);
-              auto result = co_await maker.change("k", add, runtime.now() + 2 * second);
+              auto result = co_await writer.change("k", add, runtime.now() + 2 * second);
               bool known = result.known();
               if (known) done->push_back(word);
               co_await runtime.sleep(static_cast<runtime::microseconds>(runtime.draw(100000)));
             }
-          }(maker, name, settled));
+          }(writer, name, committed));
     }
     for (int fault = 0; fault < 5; ++fault) {
       site.world.run_for(static_cast<runtime::microseconds>(site.world.draw(300000)));
@@ -71,18 +72,18 @@
     auto reader = site.writer("r");
     auto now = site.run("r", reader.read("k", site.deadline("r", 5 * second)));
     REQUIRE(now.value.has_value());
-    for (auto& word : *settled) {
+    for (auto& word : *committed) {
       INFO("seed " << seed << " lost " << word);
       auto at = now.value->find(word);
       REQUIRE(at != std::string::npos);
       REQUIRE(now.value->find(word, at + 1) == std::string::npos);
     }
-    settled_in_all += static_cast<int>(settled->size());
+    total_committed += static_cast<int>(committed->size());
   }
-  REQUIRE(settled_in_all > 400);
+  REQUIRE(total_committed > 400);
 }
 
-TEST_CASE("a writer that goes ahead never writes over one that came between") {
+TEST_CASE("a change by the fast path never overwrites another writer's change") {
   double rounds = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     group site(seed);
@@ -90,7 +91,7 @@
     std::map<std::string, consensus::proposer> writers;
     for (auto* name : {"wa", "wb"}) writers.emplace(name, site.writer(name));
     std::vector<std::string> words;
-    // Runs of one writer, so that it goes ahead, broken by the other.
+    // Consecutive changes of one writer, which use the fast path, interrupted by the other writer.
     for (int each = 0; each < 12; ++each) {
       std::string name = site.world.draw(3) ? "wa" : "wb";
       words.push_back("<" + name + std::to_string(each) + ">");
@@ -103,14 +104,14 @@
     for (auto& [name, writer] : writers)
       rounds += writer.endpoint().logger().value("herontally_register_rounds_total");
   }
-  // Fewer than two rounds a change, or nobody went ahead.
+  // With two rounds or more for each change no writer would have used the fast path.
   REQUIRE(rounds < 20 * 12 * 2);
 }
 
-TEST_CASE("an empty disk does not vote as its predecessor") {
+TEST_CASE("a voter whose disk was emptied does not vote under its old identity") {
   group site(5);
   auto writer = site.begin();
-  // The third voter misses the value, the second one loses its disk: no majority has both memory and voice.
+  // s3 misses the value, s2 loses its disk and s1 is down, so that no majority that can vote holds the value.
   site.world.cut("w", "s3");
   auto written = site.run("w", writer.change("k", set_to("precious"), site.deadline("w", 3 * second)));
   REQUIRE(written.status == consensus::change_status::committed);
@@ -118,20 +119,20 @@
   site.world.kill("s2", simulator::disk_loss::all, true);
   site.boot("s2");
   site.world.heal("w", "s3");
-  auto blind = site.run("w", writer.read("k", site.deadline("w", 2 * second)));
-  REQUIRE(blind.status == consensus::change_status::unreachable);
-  // With the first one back there is a majority again, and the value with it.
+  auto unanswered = site.run("w", writer.read("k", site.deadline("w", 2 * second)));
+  REQUIRE(unanswered.status == consensus::change_status::unreachable);
+  // Once s1 is back, s1 and s3 are a majority, and s1 holds the value.
   site.boot("s1");
   auto now = site.run("w", writer.read("k", site.deadline("w", 5 * second)));
   REQUIRE(now.value == "precious");
 }
 
-TEST_CASE("a voter that lost its disk, and a silent seed, don't slow changes that have a quorum") {
+TEST_CASE("a voter that lost its disk and an unreachable seed don't slow down changes that have a quorum") {
   group site(7, 4);
   auto writer = site.begin();
   site.world.kill("s3", simulator::disk_loss::all, true);
   site.boot("s3");
-  // Whoever asked every seed for a newer view would wait for this one.
+  // A change that waited for every seed's reply in the search for a newer view would wait for this one.
   site.world.cut("w", "s4");
   for (int number = 0; number < 5; ++number) {
     auto begun = site.world.runtime_of("w").now();
@@ -142,7 +143,7 @@
   }
 }
 
-TEST_CASE("a lost machine is replaced by an empty one and every record has its copies again") {
+TEST_CASE("replacing a lost machine by an empty one restores the copies of every record") {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     group site(seed, 4);
     auto writer = site.begin();
@@ -155,8 +156,8 @@
     std::string lost = "s" + std::to_string(1 + seed % 3);
     site.world.kill(lost, simulator::disk_loss::all, true);
     std::string leaving;
-    for (auto& place : first.voters)
-      if (place.node == lost) leaving = place.id;
+    for (auto& voter : first.voters)
+      if (voter.node == lost) leaving = voter.id;
     reconfiguration::replacement wanted{leaving, site.places({"s4"})[0]};
     auto moved = site.run(
         "w", reconfiguration::replace_voter(writer, writer, wanted, site.deadline("w", 30 * second)));
@@ -166,7 +167,7 @@
     for (int each = 0; each < 20; ++each)
       REQUIRE(site.voters["s4"]->accepted_value("k" + std::to_string(each)) == "v" + std::to_string(each));
     REQUIRE(site.voters["s4"]->content("d1") == "body");
-    // A second loss right after the move is survived by what the newcomer holds.
+    // A second loss right after the replacement is survived because the new voter holds every record.
     std::string second_lost = lost == "s1" ? "s2" : "s1";
     site.world.kill(second_lost, simulator::disk_loss::all, true);
     auto now = site.run("w", writer.read("k7", site.deadline("w", 5 * second)));
@@ -174,7 +175,7 @@
   }
 }
 
-TEST_CASE("a joining voter gets its records by catching up, and from nobody's repair beside that") {
+TEST_CASE("a joining voter gets its records by catch-up and not by repair as well") {
   group site(11, 4);
   auto writer = site.begin();
   REQUIRE(site.run("w", writer.put_content("d1", "body", site.deadline("w", 3 * second), false)));
@@ -184,7 +185,7 @@
   REQUIRE(std::holds_alternative<consensus::view>(begun));
   auto joint = std::get<consensus::view>(begun);
   REQUIRE(site.run("w", reconfiguration::install_chosen(writer, joint, site.deadline("w", 5 * second))));
-  // Several rounds of repair.
+  // Long enough for several rounds of repair.
   site.world.run_for(15 * second);
   REQUIRE(site.voters["s4"]->current_view().number == joint.number);
   CHECK_FALSE(site.voters["s4"]->content("d1").has_value());
@@ -192,11 +193,11 @@
   CHECK(site.voters["s4"]->content("d1") == "body");
 }
 
-TEST_CASE("a voter that missed records of every range gets them all in one walk") {
+TEST_CASE("repair brings a voter records that it missed in all checksum ranges") {
   group site(12);
   auto writer = site.begin();
   site.world.kill("s3", simulator::disk_loss::none);
-  constexpr int records = 1500;  // more than a page, and some in each range
+  constexpr int records = 1500;  // more than a page, with some in each range
   for (int each = 0; each < records; ++each)
     site.run("w",
              writer.put_content("d" + std::to_string(each), "body", site.deadline("w", 3 * second), true));
@@ -211,7 +212,7 @@
       20 * second));
 }
 
-TEST_CASE("sources that serve a joining voter side by side share the records between them") {
+TEST_CASE("concurrent catch-up sources of a joining voter share the records between them") {
   group site(14, 4);
   auto writer = site.begin();
   constexpr int records = 2000;
@@ -219,7 +220,7 @@
     REQUIRE(site.run("w", writer.put_content("d" + std::to_string(each), std::string(2000, 'x'),
                                              site.deadline("w", 3 * second), true)));
   record_current_view(site, writer);
-  // Slow enough that a second and a third source begin beside the first.
+  // Slow enough that the voter asks a second and a third source before the first one is done.
   for (auto source : {"s1", "s2", "s3"}) site.world.net().link_delays[{source, "s4"}] = 150000;
   reconfiguration::replacement wanted{site.voters["s3"]->id(), site.places({"s4"})[0]};
   auto moved =
@@ -232,7 +233,7 @@
   CHECK(site.loggers.at("s4").value("herontally_catch_up_records_total") < records * 1.2);
 }
 
-TEST_CASE("a voter that many send the same view writes it once, and answers all of them") {
+TEST_CASE("a voter answers all concurrent installations of the same view") {
   group site(13, 4);
   auto writer = site.begin();
   auto next = writer.current_view();
@@ -250,7 +251,7 @@
   CHECK(site.voters["s1"]->current_view() == next);
 }
 
-TEST_CASE("a voter that a chosen view leaves out wipes itself and is an unknown voter afterwards") {
+TEST_CASE("a voter that a chosen view leaves out deletes its records and takes a new identity") {
   group site(9, 4);
   auto writer = site.begin();
   site.run("w", writer.change("k", set_to("old"), site.deadline("w", 3 * second)));
@@ -265,7 +266,7 @@
   REQUIRE_FALSE(site.voters["s2"]->accepted_value("k").has_value());
 }
 
-TEST_CASE("what a voter missed is handed over to it by the others") {
+TEST_CASE("repair brings a voter the records that it missed while it was down") {
   group site(4);
   auto writer = site.begin();
   site.world.kill("s3", simulator::disk_loss::none);
--- a/tests/send_window_test.cc
+++ b/tests/send_window_test.cc
@@ -1,4 +1,4 @@
-// A voter that answers late isn't flooded with contents, and gets them from the others afterwards.
+// Flow control for contents: a voter that replies late isn't flooded, and gets what it missed by repair.
 #include "replica_group_fixture.h"
 
 using namespace herontally;
@@ -15,7 +15,7 @@
   site.world.freeze("s3");
   for (int number = 0; number < total; ++number)
     REQUIRE(site.run("w", writer.put_content(key_of(number), body, site.deadline("w", second), false)));
-  // What waits for it arrives as it wakes: at most what was sent before it was left out.
+  // The queued messages arrive when it wakes: only those that were sent before its send window was full.
   site.world.wake("s3");
   site.world.run_for(20 * millisecond);
   int arrived = 0;
@@ -23,7 +23,7 @@
     arrived += site.voters["s3"]->content(key_of(number)) ? 1 : 0;
   INFO(arrived << " of " << total << " arrived at once");
   CHECK(arrived < total / 4);
-  // The others hand over the rest.
+  // Repair by the other voters brings the rest.
   REQUIRE(site.world.run_until(
       [&] {
         for (int number = 0; number < total; ++number)
@@ -33,7 +33,7 @@
       20 * second));
 }
 
-TEST_CASE("a late voter is asked all the same when the others make no quorum") {
+TEST_CASE("a voter with a full send window is still asked when the others make no quorum") {
   group site(52);
   auto writer = site.begin();
   const std::string body = "{}\n" + std::string(8 << 10, 'b');
--- a/tests/view_search_test.cc
+++ b/tests/view_search_test.cc
@@ -1,4 +1,4 @@
-// What a proposer spends on finding the voters of its group while nobody knows them.
+// Cost of a proposer's search for the voters of its group while no node knows them.
 #include <catch2/catch.hpp>
 
 #include "consensus/proposer.h"
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Stores of which none has a view, as between the loss of all power and the return of the voters.
+// Storage nodes of which none has a view, as after a power loss of all nodes until the voters are back.
 struct stores_without_view {
   static constexpr int stores = 36;
   simulator::world world{1};
@@ -39,10 +39,12 @@
 
 }  // namespace
 
-// FAULT of issue 46: after the loss of all power each change of each node asked all stores, again and again.
-TEST_CASE("FAULT: an outage of the voters costs a node no more bytes than it has at the target size") {
+// Guards against issue 46: after a power loss of all nodes, each change of each node asked all storage nodes
+// again and again.
+TEST_CASE(
+    "FAULT: an outage of the voters costs a node no more bytes than its budget at the target fleet size") {
   constexpr int changes = 50, seconds = 5;
-  constexpr double most_bytes_a_second = 7000;
+  constexpr double max_bytes_per_second = 7000;
   stores_without_view site;
   auto runtime = site.boot("proxy");
   consensus::proposer proposer(rpc::endpoint(runtime, "proxy", site.lines), "store");
@@ -57,5 +59,5 @@
   auto bytes = site.lines.value("herontally_inner_asked_bytes_total") / seconds;
   INFO("bytes a second: " << bytes);
   REQUIRE(bytes > 0);
-  REQUIRE(bytes <= most_bytes_a_second);
+  REQUIRE(bytes <= max_bytes_per_second);
 }
