--- a/src/replication/acceptor.cc
+++ b/src/replication/acceptor.cc
@@ -16,21 +16,22 @@
 
 namespace {
 
-// New work is refused at its first phase unless this much is free, so that nothing half-begun is left of it.
+// A prepare of new work is refused unless this much disk capacity is free, so that its accept doesn't fail
+// and leave the work unfinished.
 constexpr std::size_t capacity_for_accept = 4096;
-// What a cell adds to the disk besides keys and values.
+// Disk space of a cell besides its key and value.
 constexpr std::size_t cell_overhead_bytes = 64;
-// A reply holds no more than this; the sender goes on from the last body or record that it got.
+// Limits of one reply. The requester continues after the last body or record that it received.
 constexpr std::size_t max_chain_bytes = 8u << 20;
 constexpr std::size_t max_page_bytes = 256 << 10;
 constexpr std::int64_t max_listed_records = 5000;
 
-// `none`: nothing stands against the request.
+// Returns `none` if the request names this voter's identity.
 reply_status check_identity(const replica& self, const std::string& requested) {
   return self.identity == requested ? reply_status::none : reply_status::unknown_voter;
 }
 
-// The view 0 stands for any.
+// View number 0 in a request means any view.
 bool is_other_view(const replica& self, std::int64_t requested) {
   return requested != 0 && requested != self.current_view.number;
 }
@@ -47,24 +48,27 @@
   return reply_status::failed;
 }
 
-// Why a vote is refused before it is queued; `none`: it isn't. The reply also names the installed view.
+// Sets the status for which a vote is refused before it is queued, and the installed view; `none` if it isn't
+// refused.
 void check_vote(const replica& self, const rpc::vote_request& request, rpc::vote_reply& reply) {
   reply.status = check_identity(self, request.voter);
-  // Only the view that this voter has installed counts: whoever has another one gets it in the reply.
+  // Only votes under the installed view are accepted. A proposer with another view gets this one in the
+  // reply.
   bool other_view = request.view != self.current_view.number && !broken("view");
   if (reply.status == reply_status::none && other_view) reply.status = reply_status::view_mismatch;
   if (!self.serving()) reply.status = reply_status::failed;
   if (reply.status != reply_status::none) reply.view = self.current_view_text;
 }
 
-// More than the disk keeps up with is refused at once: the others make a quorum, and repair brings the rest.
+// Requests that exceed what the disk keeps up with are refused at once: the other voters make a quorum, and
+// repair brings the missed records later.
 reply_status refuse_overloaded(const replica& self) {
   self.endpoint.logger().count("herontally_store_overload_refused_total");
   return reply_status::failed;
 }
 
-// The acceptor's decision on one cell. True when it changed.
-bool decide(const rpc::vote_request& request, cell& content, reply_status& status) {
+// Applies the acceptor's rule to a cell and sets the status. True if the cell changed.
+bool apply_vote(const rpc::vote_request& request, cell& content, reply_status& status) {
   bool any_ballot = broken("promise");
   if (request.phase == vote_phase::prepare && (request.ballot > content.promised || any_ballot)) {
     content.promised = request.ballot;
@@ -82,21 +86,21 @@
   return false;
 }
 
-// The vote as a command of the record's bucket: it reads and writes the cell, and answers once that is
+// A command for the record's bucket that reads and updates the cell, and sets `done` once the change is
 // durable.
-command command_for_vote(const std::shared_ptr<replica>& self, replica_storage::bucket& bucket,
-                         const std::string& record, const rpc::vote_request& request,
-                         runtime::slot<rpc::vote_reply> done) {
-  command ballot;
-  ballot.urgent = request.urgent;
-  ballot.apply = [self, &bucket, record, request, done](staged_changes& staged) mutable {
+command make_vote_command(const std::shared_ptr<replica>& self, replica_storage::bucket& bucket,
+                          const std::string& record, const rpc::vote_request& request,
+                          runtime::slot<rpc::vote_reply> done) {
+  command vote_command;
+  vote_command.urgent = request.urgent;
+  vote_command.apply = [self, &bucket, record, request, done](staged_changes& staged) mutable {
     rpc::vote_reply reply;
     auto bytes = bucket.read(staged, record);
     cell content = bytes ? replica_storage::unpack_cell(*bytes) : cell{};
-    bool moved_on = self->current_view.number != request.view && !broken("view");
-    if (moved_on || self->wiping)
+    bool view_changed = self->current_view.number != request.view && !broken("view");
+    if (view_changed || self->wiping)
       reply.status = reply_status::view_mismatch;
-    else if (decide(request, content, reply.status))
+    else if (apply_vote(request, content, reply.status))
       staged[record] = replica_storage::pack(content);
     reply.promised = content.promised;
     reply.accepted = content.accepted;
@@ -112,7 +116,7 @@
       done.set(reply);
     };
   };
-  return ballot;
+  return vote_command;
 }
 
 }  // namespace
@@ -136,9 +140,9 @@
     co_return reply;
   }
   runtime::slot<rpc::vote_reply> done(self->endpoint.runtime());
-  auto ballot = command_for_vote(self, bucket, record, request, done);
-  ballot.bytes = command_bytes;
-  bucket.push(std::move(ballot));
+  auto vote_command = make_vote_command(self, bucket, record, request, done);
+  vote_command.bytes = command_bytes;
+  bucket.push(std::move(vote_command));
   co_return co_await done.wait();
 }
 
@@ -159,11 +163,11 @@
   command put;
   put.urgent = request.urgent;
   put.bytes = record.size() + request.body.size();
-  // Only one copy of the body is queued, and goes on to the disk.
+  // The body is moved into the command, so that only one copy is in memory until it is on disk.
   put.apply = [self, &bucket, record, view = request.view, body = std::move(request.body),
                done](staged_changes& staged) mutable {
     bool refused = is_other_view(*self, view) || self->wiping;
-    // Contents never change, so that one which is there already is right.
+    // Contents are immutable, so one that is already stored is kept.
     if (!refused && !bucket.contains(staged, record)) staged[record] = std::move(body);
     return [done, refused](commit_result result) {
       done.set(refused ? reply_status::view_mismatch : status_of(result));
@@ -174,8 +178,9 @@
   co_return reply;
 }
 
-// The first line of a content is JSON that names the content before it; after it there may be any bytes.
-static std::string previous_of(const std::string& body) {
+// Returns the digest of the previous content in the chain, or an empty text. The first line of a content is
+// JSON that names it; any bytes may follow.
+static std::string previous_digest(const std::string& body) {
   auto line = static_cast<std::ptrdiff_t>(std::min(body.find('\n'), body.size()));
   auto document = nlohmann::json::parse(body.begin(), body.begin() + line, nullptr, false);
   return document.is_object() ? document.value("previous", "") : "";
@@ -194,7 +199,7 @@
     auto body = self.records.read(replica_storage::content_record(digest));
     if (!body || (bytes > 0 && bytes + body->size() > max_chain_bytes)) break;
     bytes += body->size();
-    digest = previous_of(*body);
+    digest = previous_digest(*body);
     reply.bodies.push_back(std::move(*body));
   }
   return reply;
@@ -207,7 +212,7 @@
     reply.status = reply_status::view_mismatch;
   if (reply.status != reply_status::none) return reply;
   reply.status = reply_status::ok;
-  // The first records of all buckets, merged in order.
+  // The first records of all buckets, merged in key order.
   std::map<std::string, replica_storage::cell_ballots> merged;
   auto limit = static_cast<std::size_t>(std::clamp<std::int64_t>(request.limit, 1, max_listed_records));
   auto take = [&](const storage::listed_record& record) {
@@ -218,7 +223,7 @@
     bool overfull = merged.size() > limit;
     if (overfull) merged.erase(std::prev(merged.end()));
     reply.more = reply.more || beyond_page || overfull;
-    // Buckets list in order: all that follows in this one lies beyond the page as well.
+    // Buckets list in key order, so all further records of this bucket are beyond the page as well.
     return !beyond_page;
   };
   for (auto& bucket : self.records.buckets())
@@ -243,7 +248,7 @@
     if (!reply.values.empty() && bytes > max_page_bytes) break;
     bool stored = self.records.contains(record);
     auto value = self.records.read(record);
-    // It is here but can't be read: another voter has to be the source.
+    // The record exists but can't be read; the requester has to ask another voter.
     if (stored && !value) {
       reply.status = reply_status::failed;
       reply.values.clear();
--- a/src/replication/acceptor.h
+++ b/src/replication/acceptor.h
@@ -1,11 +1,13 @@
-// The acceptor's side of the protocol: promises and accepts, durable before they are answered, and answers
-// what is stored. Internal to the replication package.
+// The acceptor's side of the register protocol: makes promises and accepts durable before it replies, and
+// serves what is stored. It doesn't install views, fetch records or repair peers. Internal to the replication
+// package.
 //
 // Invariants:
-// - No reply says ok before what it promises is synced.
-// - A request that names another identity or another view than the installed one is refused. It is checked
-// again when
-//   the command's turn comes, since the view may have changed while it was queued.
+// - No reply says ok before the promise or value that it confirms is synced to disk.
+// - A request that names another identity or another view than the installed one is refused. The view is
+//   checked again when the command is applied, since it may have changed while the command was queued.
+//
+// Every function below serves the request of its name. Errors are in the reply's status.
 #pragma once
 #include "replication/replica.h"
 
@@ -18,6 +20,7 @@
 rpc::list_records_reply list_records(const replica& self, const rpc::list_records_request& request);
 rpc::read_records_reply read_records(const replica& self, const rpc::read_records_request& request);
 rpc::checksums_reply checksums(const replica& self, const rpc::checksums_request& request);
+// An empty reply if the request is for another group or this voter is being wiped.
 rpc::identify_reply identify(const replica& self, const rpc::identify_request& request);
 
 }  // namespace herontally::replication
--- a/src/replication/catch_up.cc
+++ b/src/replication/catch_up.cc
@@ -20,17 +20,17 @@
 namespace {
 
 constexpr microseconds page_timeout = 1500 * millisecond;
-// After this long another source is asked beside a slow one.
-constexpr microseconds slow_source_time = 1000 * millisecond;
-constexpr std::size_t page_records = 256;
-// Before records that another source is bringing are looked at again.
-constexpr microseconds deferred_pause = 50 * millisecond;
-constexpr std::int64_t listed_at_once = 1000;
-// Of copies that aren't durable yet; with more, the next page waits for them.
-constexpr std::size_t max_waiting_bytes = 512 << 10;
-
-// Takes a copy of a register into our cell, by the acceptor's rule. False when a promise of ours stands
-// against it.
+// After this time without a result the next source is asked as well.
+constexpr microseconds slow_source_timeout = 1000 * millisecond;
+constexpr std::size_t max_page_records = 256;
+// Delay before checking again the records that were left to another source.
+constexpr microseconds deferred_delay = 50 * millisecond;
+constexpr std::int64_t max_listed_records = 1000;
+// Limit of copies that aren't durable yet. Beyond it the next page waits until they are.
+constexpr std::size_t max_unsynced_bytes = 512 << 10;
+
+// Merges a copy of a register into this voter's cell by the acceptor's rule. False if the copy was refused
+// because this voter has promised a higher ballot.
 bool merge_copy(const cell& copy, cell& own) {
   bool newer = copy.accepted > own.accepted;
   bool refused = newer && copy.accepted < own.promised;
@@ -44,8 +44,8 @@
 
 }  // namespace
 
-runtime::slot<bool> catch_up::take_copy(const std::string& record, std::string bytes,
-                                        refused_records refused) {
+runtime::slot<bool> catch_up::store_copy(const std::string& record, std::string bytes,
+                                         refused_records refused) {
   runtime::slot<bool> done(replica_->endpoint.runtime());
   auto& bucket = replica_->records.bucket_for_write(record, bytes.size());
   command take;
@@ -67,10 +67,11 @@
   return done;
 }
 
-// Takes records that no other source is being asked for off the front, up to a page of them.
+// Removes records from the front until it has a page of those that aren't being fetched from another source.
+// Counts the other ones in `deferred`.
 std::vector<std::string> catch_up::claim_page(std::deque<std::string>& records, std::size_t& deferred) {
   std::vector<std::string> page;
-  while (!records.empty() && page.size() < page_records) {
+  while (!records.empty() && page.size() < max_page_records) {
     bool claimed = fetching_.insert(records.front()).second;
     if (claimed)
       page.push_back(std::move(records.front()));
@@ -81,16 +82,17 @@
   return page;
 }
 
-// Nothing: the source failed. Else how many were left to another source.
+// Fetches the records from the source. Returns how many were left to another source, or nullopt if this
+// source or the disk failed.
 task<std::optional<std::size_t>> catch_up::fetch_records(voter_info source, std::int64_t view,
                                                          std::deque<std::string> records,
                                                          refused_records refused,
                                                          std::shared_ptr<claimed_records> claimed) {
   auto self = shared_from_this();
   auto logger = self->replica_->endpoint.logger();
-  std::vector<runtime::slot<bool>> waits;
-  std::size_t deferred = 0, waiting_bytes = 0;
-  bool all = true;
+  std::vector<runtime::slot<bool>> pending_copies;
+  std::size_t deferred = 0, unsynced_bytes = 0;
+  bool all_durable = true;
   std::vector<std::string> page;
   while (!records.empty() || !page.empty()) {
     if (page.empty()) {
@@ -107,19 +109,20 @@
     logger.count("herontally_catch_up_records_total", static_cast<double>(fetched));
     for (std::size_t position = 0; position < fetched; ++position) {
       auto& value = reply->values[position];
-      waiting_bytes += value.size();
-      // Removed since it was listed: nobody needs it any more.
-      if (!value.empty()) waits.push_back(self->take_copy(page[position], std::move(value), refused));
+      unsynced_bytes += value.size();
+      // An empty value means that the record was removed after it was listed; it is no longer needed.
+      if (!value.empty())
+        pending_copies.push_back(self->store_copy(page[position], std::move(value), refused));
     }
-    if (waiting_bytes > max_waiting_bytes) {
-      bool durable = co_await runtime::all_true(std::exchange(waits, {}));
-      all = all && durable;
-      waiting_bytes = 0;
+    if (unsynced_bytes > max_unsynced_bytes) {
+      bool durable = co_await runtime::all_true(std::exchange(pending_copies, {}));
+      all_durable = all_durable && durable;
+      unsynced_bytes = 0;
     }
     page.erase(page.begin(), page.begin() + static_cast<std::ptrdiff_t>(fetched));
   }
-  bool durable = co_await runtime::all_true(std::move(waits));
-  if (!all || !durable) co_return std::nullopt;
+  bool durable = co_await runtime::all_true(std::move(pending_copies));
+  if (!all_durable || !durable) co_return std::nullopt;
   co_return deferred;
 }
 
@@ -131,16 +134,16 @@
   return listed.accepted > own.accepted || listed.promised > own.promised;
 }
 
-// Every record that the source lists newer than ours, once. Nothing: it failed. Else how many were left to
-// other sources, which bring their own copies of them.
-task<std::optional<std::size_t>> catch_up::walk(voter_info source, std::int64_t view,
-                                                refused_records refused) {
+// Lists all records of the source once and fetches those that are missing here. Returns how many were left to
+// other sources, which bring their own copies of them, or nullopt if this source failed.
+task<std::optional<std::size_t>> catch_up::fetch_missing(voter_info source, std::int64_t view,
+                                                         refused_records refused) {
   auto self = shared_from_this();
   constexpr std::int64_t any_range = -1;
   std::string after;
   std::size_t deferred = 0;
   while (self->replica_->current_view.number == view) {
-    rpc::list_records_request request{source.id, after, listed_at_once, any_range, view};
+    rpc::list_records_request request{source.id, after, max_listed_records, any_range, view};
     auto result = co_await self->replica_->endpoint.call(source.address, std::move(request), page_timeout);
     auto* reply = std::get_if<rpc::list_records_reply>(&result);
     if (!reply || reply->status != reply_status::ok) co_return std::nullopt;
@@ -163,41 +166,41 @@
   co_return std::nullopt;
 }
 
-// What was left to other sources is looked at again: their copies may be older than this source's, or may not
-// have come.
+// Repeats until no record was left to another source: the other sources' copies may be older than this one's,
+// or may not have arrived.
 task<bool> catch_up::fetch_all(voter_info source, std::int64_t view, refused_records refused) {
   auto self = shared_from_this();
   while (true) {
-    auto deferred = co_await self->walk(source, view, refused);
+    auto deferred = co_await self->fetch_missing(source, view, refused);
     if (!deferred) co_return false;
     if (*deferred == 0) co_return true;
-    co_await self->replica_->endpoint.runtime().sleep(deferred_pause);
+    co_await self->replica_->endpoint.runtime().sleep(deferred_delay);
   }
 }
 
-task<> catch_up::report_source(voter_info source, std::int64_t view, refused_records refused,
-                               runtime::mailbox<source_result> results) {
+task<> catch_up::run_source(voter_info source, std::int64_t view, refused_records refused,
+                            runtime::mailbox<source_result> results) {
   auto self = shared_from_this();
   std::string voter = source.id;
   bool complete = co_await self->fetch_all(std::move(source), view, std::move(refused));
   results.push({voter, complete});
 }
 
-// One source after the other, since the first one brings nearly everything; the next one begins beside it
-// when it is slow, so that a slow disk or machine among the sources doesn't hold up the rest. Sources at work
-// side by side share the records between them.
+// Sources are started one after the other, since the first one brings nearly everything. If a source is slow
+// the next one is started as well, so that one slow disk or machine doesn't delay the catch-up. Concurrent
+// sources share the records between them.
 task<bool> catch_up::fetch_majority(view joint, refused_records refused) {
   auto self = shared_from_this();
   auto runtime = self->replica_->endpoint.runtime();
   auto& own_id = self->replica_->identity;
   std::set<std::string> complete;
   auto is_complete = [&complete](const std::string& voter) { return complete.contains(voter); };
-  // A voter that stays is one of the previous voters as well; its own records are here already.
+  // A voter that stays is itself one of the previous voters, and counts as a complete source.
   if (consensus::contains(joint.previous_voters, own_id)) complete.insert(own_id);
   std::vector<voter_info> sources;
   for (auto& voter : joint.previous_voters)
     if (voter.id != own_id) sources.push_back(voter);
-  // Several joining voters don't all begin at the same source.
+  // A random first source, so that several joining voters don't all start with the same one.
   auto first = sources.empty() ? 0 : runtime.draw(sources.size());
   std::rotate(sources.begin(), sources.begin() + static_cast<std::ptrdiff_t>(first), sources.end());
   runtime::mailbox<source_result> results(runtime);
@@ -205,8 +208,8 @@
   while (!consensus::has_majority(joint.previous_voters, is_complete)) {
     if (begun == sources.size() && ended == begun) co_return false;
     if (begun < sources.size())
-      runtime.spawn(self->report_source(sources[begun++], joint.number, refused, results));
-    auto result = co_await results.pop(begun < sources.size() ? slow_source_time : page_timeout);
+      runtime.spawn(self->run_source(sources[begun++], joint.number, refused, results));
+    auto result = co_await results.pop(begun < sources.size() ? slow_source_timeout : page_timeout);
     if (self->replica_->current_view.number != joint.number) co_return false;
     if (!result) continue;
     ++ended;
@@ -223,10 +226,10 @@
   bool current = self->replica_->current_view.number == joint.number;
   reply.status = done && current ? reply_status::ok : reply_status::failed;
   reply.refused.assign(refused->begin(), refused->end());
-  auto waiting = std::exchange(self->waiting_, {});
+  auto waiting = std::exchange(self->waiters_, {});
   self->running_view_ = 0;
   if (done) self->completed_ = {joint.number, reply};
-  for (auto& wait : waiting) wait.set(reply);
+  for (auto& waiter : waiting) waiter.set(reply);
 }
 
 task<rpc::catch_up_reply> catch_up::serve(rpc::catch_up_request request) {
@@ -234,13 +237,14 @@
   auto& replica = *self->replica_;
   rpc::catch_up_reply refusal;
   refusal.status = reply_status::failed;
-  bool for_us = request.voter == replica.identity && request.view == replica.current_view.number;
-  if (!for_us || replica.wiping || !replica.current_view.joint()) co_return refusal;
+  bool names_installed_view =
+      request.voter == replica.identity && request.view == replica.current_view.number;
+  if (!names_installed_view || replica.wiping || !replica.current_view.joint()) co_return refusal;
   if (self->completed_.view == request.view) co_return self->completed_.reply;
-  bool other_runs = self->running_view_ != 0 && self->running_view_ != request.view;
-  if (other_runs) co_return refusal;
+  bool other_view_running = self->running_view_ != 0 && self->running_view_ != request.view;
+  if (other_view_running) co_return refusal;
   runtime::slot<rpc::catch_up_reply> done(replica.endpoint.runtime());
-  self->waiting_.push_back(done);
+  self->waiters_.push_back(done);
   if (self->running_view_ == 0) {
     self->running_view_ = request.view;
     replica.endpoint.runtime().spawn(self->run(replica.current_view));
--- a/src/replication/replica.h
+++ b/src/replication/replica.h
@@ -1,5 +1,5 @@
-// What the parts of a voter share: its identity, its installed view and its records. Internal to the
-// replication package.
+// State that the parts of a voter share: its identity, its installed view and its records. The protocol is in
+// acceptor.h, catch_up.h, repair.h and view_installer.h. Internal to the replication package.
 #pragma once
 #include "consensus/view.h"
 #include "replica_storage/record_store.h"
@@ -7,17 +7,19 @@
 
 namespace herontally::replication {
 
+// The replica of one voter. Its parts hold it by shared_ptr, since requests outlive calls.
 struct replica {
   rpc::endpoint endpoint;
   std::string group;
   replica_storage::record_store records;
   std::string identity;
   consensus::view current_view;
-  std::string current_view_text;  // goes out with each refusal; empty while no view is installed
-  bool opened = false;            // the disk has been read: requests may be answered
-  bool wiping = false;            // left out by a chosen view: no request may be answered from what is stored
+  std::string current_view_text;  // sent with each refusal; empty while no view is installed
+  bool opened = false;            // the disk has been read, so requests may be answered
+  bool wiping = false;  // a chosen view leaves this voter out: its records must not be used in replies
+  // Called for each accepted value once it is durable.
   std::function<void(const std::string& key, const std::string& value)> on_accepted;
-  std::function<void()> on_reset;  // what was learned under the old identity is to be forgotten
+  std::function<void()> on_reset;  // called when the identity changes, to drop state of the old one
 
   replica(rpc::endpoint from, replica_storage::record_store_options options)
       : endpoint(std::move(from)),
@@ -30,7 +32,8 @@
   }
 };
 
-// Empties the replica and gives it a new identity; true once that is durable.
+// Removes all records and the view and sets a new identity. True once that is durable, false if the disk
+// failed.
 runtime::task<bool> reset(std::shared_ptr<replica> self);
 
 }  // namespace herontally::replication
--- a/src/replication/view_installer.cc
+++ b/src/replication/view_installer.cc
@@ -26,18 +26,18 @@
   co_return done;
 }
 
-task<bool> view_installer::write(view chosen) {
+task<bool> view_installer::write_view(view chosen) {
   auto self = replica_;
   installing_ = chosen;
-  // The buckets' owners do the writing, so that none of their batches is cut in two.
+  // The owner task of each bucket writes the view, so that it doesn't split a batch of commands.
   bool durable = co_await self->records.put_everywhere(replica_storage::view_record, to_text(chosen));
   if (installing_ == chosen) installing_.reset();
   if (durable && chosen.number > self->current_view.number) self->set_view(chosen);
-  auto waiting = std::exchange(waiting_, {});
+  auto waiting = std::exchange(waiters_, {});
   for (auto& waiter : waiting) waiter.set(durable);
   if (!durable) co_return false;
   self->endpoint.logger().info("view installed", {{"group", self->group}, {"view", chosen.number}});
-  if (handler_) handler_(self->current_view);
+  if (installed_handler_) installed_handler_(self->current_view);
   co_return true;
 }
 
@@ -48,21 +48,22 @@
   if (chosen.number <= current.number) co_return already_installed;
   bool left_out = !chosen.includes(self->identity);
   if (broken("early_wipe")) left_out = left_out || !consensus::contains(chosen.voters, self->identity);
-  // What is stored here may be stale, and must never vote again. A voter without a view belongs to none yet.
+  // The records of a voter that is left out may be stale and must never be voted with again. A voter without
+  // a view isn't in the group yet and has nothing to wipe.
   if (left_out && current.number == 0) co_return false;
   if (left_out) co_return co_await wipe();
-  // No other view of the same number may pass the one that is being written.
+  // While a view is being written, no other view with the same or a lower number is installed.
   if (installing_ && chosen.number <= installing_->number && chosen != *installing_) co_return false;
   if (installing_ && *installing_ == chosen) {
-    // Every proposer that meets the old view sends the new one: they wait here by the hundred.
+    // Every proposer that finds the old view here sends the new one, so hundreds of calls may wait.
     while (installing_ && *installing_ == chosen) {
       runtime::slot<bool> ended(self->endpoint.runtime());
-      waiting_.push_back(ended);
+      waiters_.push_back(ended);
       co_await ended.wait();
     }
     co_return current == chosen;
   }
-  co_return co_await write(std::move(chosen));
+  co_return co_await write_view(std::move(chosen));
 }
 
 task<rpc::install_view_reply> view_installer::serve(rpc::install_view_request request) {
--- a/src/replication/voter.cc
+++ b/src/replication/voter.cc
@@ -13,14 +13,14 @@
 struct voter::state {
   std::shared_ptr<replica> shared;
   view_installer installer;
-  std::shared_ptr<catch_up> filler;
+  std::shared_ptr<catch_up> catch_up_service;
 
   state(rpc::endpoint endpoint, voter_options options)
       : shared(std::make_shared<replica>(std::move(endpoint), std::move(options))),
         installer(shared),
-        filler(std::make_shared<catch_up>(shared)) {
-    shared->on_reset = [weak = std::weak_ptr<catch_up>(filler)] {
-      if (auto here = weak.lock()) here->reset();
+        catch_up_service(std::make_shared<catch_up>(shared)) {
+    shared->on_reset = [weak = std::weak_ptr<catch_up>(catch_up_service)] {
+      if (auto service = weak.lock()) service->reset();
     };
   }
 };
@@ -40,14 +40,14 @@
 
 // Registers the handlers of all requests to a voter.
 static void serve_requests(std::shared_ptr<replica> self, view_installer* installer,
-                           std::shared_ptr<catch_up> filler, std::shared_ptr<void> owner) {
+                           std::shared_ptr<catch_up> catch_up_service, std::shared_ptr<void> owner) {
   auto endpoint = self->endpoint;
   endpoint.serve<rpc::vote_request>(
       [self](rpc::vote_request request) { return vote(self, std::move(request)); });
   endpoint.serve<rpc::put_content_request>(
       [self](rpc::put_content_request request) { return put_content(self, std::move(request)); });
   endpoint.serve<rpc::repair_record_request>(
-      [self](rpc::repair_record_request request) { return take_repaired(self, std::move(request)); });
+      [self](rpc::repair_record_request request) { return repair_record(self, std::move(request)); });
   endpoint.serve<rpc::read_chain_request>(
       [self](rpc::read_chain_request request) -> task<rpc::read_chain_reply> {
         co_return read_chain(*self, request);
@@ -67,15 +67,17 @@
   endpoint.serve<rpc::identify_request>([self](rpc::identify_request request) -> task<rpc::identify_reply> {
     co_return identify(*self, request);
   });
-  endpoint.serve<rpc::catch_up_request>(
-      [filler](rpc::catch_up_request request) { return filler->serve(std::move(request)); });
-  // The installer belongs to the voter's state, which the handler keeps alive.
+  endpoint.serve<rpc::catch_up_request>([catch_up_service](rpc::catch_up_request request) {
+    return catch_up_service->serve(std::move(request));
+  });
+  // The installer is a member of the voter's state, which `owner` keeps alive.
   endpoint.serve<rpc::install_view_request>(
       [installer, owner](rpc::install_view_request request) { return installer->serve(std::move(request)); });
 }
 
-// A bucket without the others' identity was lost while they were kept: that is a loss, too. The one exception
-// is a first start that was cut off before any view could have named this voter.
+// Buckets with different identities, or one without an identity, mean that some buckets were lost while
+// others were kept; that counts as a corrupt disk. The exception is a first start that was interrupted before
+// a view could have named this voter.
 task<std::optional<open_error>> voter::open() {
   auto self = state_;
   auto shared = self->shared;
@@ -98,7 +100,7 @@
   }
   shared->records.start();
   shared->opened = true;
-  serve_requests(shared, &self->installer, self->filler, self);
+  serve_requests(shared, &self->installer, self->catch_up_service, self);
   if (corrupt) co_return open_error::corrupt;
   co_return std::nullopt;
 }
--- a/src/replication/voter.h
+++ b/src/replication/voter.h
@@ -1,9 +1,9 @@
 // One voter of a replicated register group: it accepts what proposers write, catches up when it joins,
-// repairs its peers and installs views. It owns its records and its identity; everything else asks it through
-// the inner protocol, or through this class in the same process.
+// repairs its peers and installs views. It owns its records and its identity. Other nodes use it by requests,
+// other parts of the same process through this class. It doesn't propose values or choose views.
 //
-// Invariant: an identity belongs to one disk. A corrupt or emptied disk gets a new one, and is no voter until
-// a view names it: an empty disk must never vote as its predecessor.
+// Invariant: an identity belongs to one disk. A corrupt or emptied disk gets a new identity and isn't a voter
+// until a view names it, since an empty disk must never vote under the old identity.
 #pragma once
 #include "consensus/view.h"
 #include "replica_storage/record_store.h"
@@ -11,9 +11,10 @@
 
 namespace herontally::replication {
 
+// Errors of voter::open.
 enum class open_error {
-  failed,   // the disk can't be read or written
-  corrupt,  // acknowledged records were lost; the voter goes on empty, under a new identity
+  failed,   // the disk can't be read or written; the voter doesn't serve requests
+  corrupt,  // acknowledged records were lost; the voter serves requests, empty and under a new identity
 };
 
 using voter_options = replica_storage::record_store_options;
@@ -22,25 +23,28 @@
 class voter {
  public:
   voter(rpc::endpoint endpoint, voter_options options);
-  // Reads the disk, makes an identity on an empty one, and serves requests from then on. Nothing: all is
-  // well.
+  // Reads the disk, creates an identity if it is empty, and starts to serve requests. Nullopt on success.
   runtime::task<std::optional<open_error>> open();
+  // The identity by which views name this voter.
   const std::string& id() const;
+  // The installed view; number 0 if there is none.
   const consensus::view& current_view() const;
-  // Called after each installation of a view.
+  // Sets the handler that is called after each installation of a view.
   void on_view(std::function<void(const consensus::view&)> handler);
-  // Called for each value that this voter accepted, once it is durable.
+  // Sets the handler that is called for each value that this voter accepted, once the value is durable.
   void on_accepted(std::function<void(const std::string& key, const std::string& value)> handler);
-  // Installs a view that is known to be chosen. A voter that a chosen view leaves out wipes itself.
+  // Installs a view that is known to be chosen; see view_installer::install. A voter that the view leaves out
+  // wipes itself.
   runtime::task<bool> install(consensus::view chosen);
-  // Anti-entropy repair with the peers; runs until the process stops.
+  // Repairs the peers until the process stops.
   runtime::task<> repair_forever();
 
-  // The value that this voter accepted last, whether it is agreed or not.
+  // The value that this voter accepted last, whether it is agreed or not; nullopt if there is none.
   std::optional<std::string> accepted_value(const std::string& key) const;
+  // The content as this voter stores it; nullopt if it is missing or can't be read.
   std::optional<std::string> content(const std::string& digest) const;
-  // Removes contents that nothing refers to any more, and registers that their own values give up; see
-  // record_store.
+  // Remove contents that are no longer referred to, and registers that their values permit to remove; see
+  // record_store::remove and record_store::remove_registers_if.
   runtime::task<bool> remove_contents(std::vector<std::string> digests);
   runtime::task<int> remove_registers_if(std::vector<std::string> keys,
                                          replica_storage::record_store::removal_check may_remove);
--- a/tests/store_overload_test.cc
+++ b/tests/store_overload_test.cc
@@ -1,4 +1,4 @@
-// A voter that gets more than its disk or its processor can take.
+// A voter that receives more writes than its disk can store.
 #include "heap_meter.h"
 #include "replica_group_fixture.h"
 
@@ -9,15 +9,16 @@
 
 namespace {
 
-// Of the smallest storage machines that the users have. The other half is for the records' index.
+// Memory of the smallest storage machines that the users have. Half of it is left for the index of the
+// records.
 constexpr std::size_t smallest_store_memory = 57u << 20;
-constexpr std::size_t most_memory = smallest_store_memory / 2;
+constexpr std::size_t max_held_memory = smallest_store_memory / 2;
 constexpr std::size_t body_bytes = 24 << 10;
 constexpr int puts_in_burst = 40;
 constexpr int bursts = 100;
 
 struct put_results {
-  int answered = 0, kept = 0;
+  int answered = 0, stored = 0;
 };
 
 runtime::task<> put(rpc::endpoint from, std::string address, rpc::put_content_request request,
@@ -26,13 +27,13 @@
   auto* reply = std::get_if<rpc::put_content_reply>(&result);
   if (!reply) co_return;
   ++results->answered;
-  results->kept += reply->status == rpc::reply_status::ok ? 1 : 0;
+  results->stored += reply->status == rpc::reply_status::ok ? 1 : 0;
 }
 
 }  // namespace
 
-// FAULT of issue 37: stores of 57 MB ended by themselves.
-TEST_CASE("FAULT: a store whose disk hangs holds no more than its memory bears") {
+// Guards against issue 37: storage nodes with 57 MB of memory terminated by themselves.
+TEST_CASE("FAULT: a storage node whose disk hangs holds no more writes than fit its memory") {
   group site(7);
   auto writer = site.begin();
   auto results = std::make_shared<put_results>();
@@ -54,8 +55,8 @@
   std::size_t held = tests::heap_now().peak - before;
   INFO("held at the most " << (held >> 10) << " kB of " << (bursts * puts_in_burst * body_bytes >> 10)
                            << " kB offered; " << results->answered << " answered");
-  REQUIRE(held < most_memory);
-  // Nothing was acknowledged that isn't on the disk, and what doesn't fit is refused at once.
-  REQUIRE(results->kept == 0);
+  REQUIRE(held < max_held_memory);
+  // No write is acknowledged before it is on disk, and those beyond the limit are refused at once.
+  REQUIRE(results->stored == 0);
   REQUIRE(results->answered > 0);
 }
