--- a/src/reconfiguration/group_catch_up.cc
+++ b/src/reconfiguration/group_catch_up.cc
@@ -12,15 +12,15 @@
 
 namespace {
 
-constexpr std::size_t settled_at_once = 16;
+constexpr std::size_t max_concurrent_rewrites = 16;
 constexpr microseconds retry_pause = 100 * millisecond;
 constexpr microseconds catch_up_timeout = 2 * runtime::second;
-// Once the copies suffice, a voter that doesn't answer for this long is no longer waited for.
-constexpr microseconds straggler_time = 1500 * millisecond;
+// Once the copies suffice, the other voters are no longer waited for if none replies for this long.
+constexpr microseconds straggler_timeout = 1500 * millisecond;
 constexpr microseconds no_timeout = -1;
 
-// A round that writes the value back puts it at a majority of the new voters as well.
-task<bool> settle_record(proposer group, std::string key, microseconds deadline) {
+// Writes a register's value back unchanged, which stores it at a majority of the new voters as well.
+task<bool> rewrite_record(proposer group, std::string key, microseconds deadline) {
   auto same = [](const std::optional<std::string>& current) { return current; };
   while (group.endpoint().runtime().now() < deadline) {
     auto result = co_await group.change(key, same, deadline, true);
@@ -29,35 +29,36 @@
   co_return false;
 }
 
-task<> report_settled(proposer group, std::string record, microseconds deadline,
-                      runtime::mailbox<bool> results) {
+task<> rewrite_record_and_report(proposer group, std::string record, microseconds deadline,
+                                 runtime::mailbox<bool> results) {
   std::string key = replica_storage::key_of(record);
-  bool settled = co_await settle_record(std::move(group), std::move(key), deadline);
-  results.push(settled);
+  bool rewritten = co_await rewrite_record(std::move(group), std::move(key), deadline);
+  results.push(rewritten);
 }
 
-// Many at once, so that they share the disks' syncs.
-task<bool> settle_records(proposer group, std::vector<std::string> records, microseconds deadline) {
+// Rewrites many records concurrently, so that they share disk syncs.
+task<bool> rewrite_records(proposer group, std::vector<std::string> records, microseconds deadline) {
   auto runtime = group.endpoint().runtime();
   runtime::mailbox<bool> results(runtime);
   std::size_t begun = 0;
   for (std::size_t ended = 0; ended < records.size(); ++ended) {
-    for (; begun < records.size() && begun < ended + settled_at_once; ++begun)
-      runtime.spawn(report_settled(group, records[begun], deadline, results));
-    auto settled = co_await results.pop(no_timeout);
-    if (!settled || !*settled) co_return false;
+    for (; begun < records.size() && begun < ended + max_concurrent_rewrites; ++begun)
+      runtime.spawn(rewrite_record_and_report(group, records[begun], deadline, results));
+    auto rewritten = co_await results.pop(no_timeout);
+    if (!rewritten || !*rewritten) co_return false;
   }
   co_return true;
 }
 
+// Result of one voter's catch-up.
 struct catch_up_result {
   std::string voter, node;
   bool done = false;
-  std::vector<std::string> refused;
+  std::vector<std::string> refused;  // records that the voter refused because of its promises
 };
 
-// Asks one voter to fetch the records, again and again: it may have to install the view first, and goes on
-// from what it has after a failure.
+// Asks one voter to fetch the records and retries until the deadline. The voter may have to install the view
+// first; after a failure it continues with the records that it still lacks.
 task<> catch_up_voter(proposer group, view joint, voter_info voter, microseconds deadline,
                       runtime::mailbox<catch_up_result> results) {
   auto endpoint = group.endpoint();
@@ -65,7 +66,7 @@
   catch_up_result result{voter.id, voter.node, broken("fill"), {}};
   while (!result.done && runtime.now() < deadline) {
     rpc::catch_up_request request{voter.id, joint.number};
-    // The voter goes on fetching when its reply is late, and the next request joins in.
+    // After a timeout the voter continues to fetch, and the next request shares that run.
     auto timeout = std::min<microseconds>(catch_up_timeout, deadline - runtime.now());
     auto answered = co_await endpoint.call(voter.address, std::move(request), timeout);
     auto* reply = std::get_if<rpc::catch_up_reply>(&answered);
@@ -80,8 +81,8 @@
   results.push(std::move(result));
 }
 
-// Returns early once the copies suffice and nobody answered for a while: a joining voter that is gone mustn't
-// hold up those that are there.
+// Returns the voters that have caught up. Returns early once the copies suffice and no voter replied for
+// straggler_timeout, so that a joining voter that is lost doesn't delay the others.
 task<std::set<std::string>> catch_up_voters(proposer group, view joint, std::vector<voter_info> voters,
                                             std::set<std::string> caught_up, microseconds deadline) {
   auto runtime = group.endpoint().runtime();
@@ -90,7 +91,7 @@
   std::vector<std::string> refused;
   for (std::size_t received = 0; received < voters.size(); ++received) {
     microseconds left = deadline - runtime.now() + retry_pause;
-    if (copies_suffice(joint, caught_up)) left = std::min(left, straggler_time);
+    if (copies_suffice(joint, caught_up)) left = std::min(left, straggler_timeout);
     auto result = co_await results.pop(std::max<microseconds>(left, 1));
     if (!result) break;
     if (!result->done) continue;
@@ -99,8 +100,8 @@
     group.endpoint().logger().info("voter caught up",
                                    {{"node", result->node}, {"refused", result->refused.size()}});
   }
-  bool settled = co_await settle_records(group, std::move(refused), deadline);
-  if (!settled) caught_up.clear();
+  bool rewritten = co_await rewrite_records(group, std::move(refused), deadline);
+  if (!rewritten) caught_up.clear();
   co_return caught_up;
 }
 
@@ -120,13 +121,14 @@
 }
 
 task<bool> catch_up_group(proposer group, view joint, microseconds deadline) {
-  std::set<std::string> nobody;
-  auto caught_up = co_await catch_up_voters(group, joint, joint.joining(), nobody, deadline);
+  std::set<std::string> none_yet;
+  auto caught_up = co_await catch_up_voters(group, joint, joint.joining(), none_yet, deadline);
   if (copies_suffice(joint, caught_up)) co_return true;
   std::vector<voter_info> staying;
   for (auto& voter : joint.voters)
     if (consensus::contains(joint.previous_voters, voter.id)) staying.push_back(voter);
-  // Voters that stay can make up for a joining one that is out of reach, and must where a group shrinks.
+  // Caught-up voters that stay can compensate for an unreachable joining voter. When a group shrinks, none
+  // joins and they have to catch up.
   caught_up = co_await catch_up_voters(group, joint, std::move(staying), std::move(caught_up), deadline);
   co_return copies_suffice(joint, caught_up);
 }
--- a/src/reconfiguration/group_move.cc
+++ b/src/reconfiguration/group_move.cc
@@ -40,23 +40,25 @@
   };
 }
 
-// Writes the next view over the one with the number before it, and over no other.
-static task<bool> choose(proposer catalog, view next, microseconds deadline) {
+// Replaces the agreed view by the next one, provided that the agreed view has the number before it and no
+// higher epoch. True if `next` was chosen.
+static task<bool> choose_view(proposer catalog, view next, microseconds deadline) {
   std::int64_t expected = next.number - 1;
   auto mutate = [next, expected](const std::optional<std::string>& text) -> std::optional<std::string> {
     view current = text ? consensus::view_from_text(*text) : view{};
-    bool other = current.number != expected && !broken("view_number");
+    bool other_view = current.number != expected && !broken("view_number");
     bool superseded = current.epoch > next.epoch;
-    if (other || superseded) return std::nullopt;
+    if (other_view || superseded) return std::nullopt;
     return to_text(next);
   };
   auto result = co_await catalog.change(view_register_key(next.group), mutate, deadline, true);
   co_return result.value&& consensus::view_from_text(*result.value) == next;
 }
 
-// A joining voter that holds records may hold stale ones, which could win a later round.
-static task<std::optional<move_error>> check_joining(rpc::endpoint endpoint, std::string group,
-                                                     voter_info joining) {
+// Checks that a joining voter is reachable and empty. A voter with records may hold stale ones, which could
+// win a later round.
+static task<std::optional<move_error>> check_joining_voter(rpc::endpoint endpoint, std::string group,
+                                                           voter_info joining) {
   rpc::identify_request request{std::move(group)};
   auto result = co_await endpoint.call(joining.address, std::move(request), reconfiguration_timeout);
   auto* reply = std::get_if<rpc::identify_reply>(&result);
@@ -65,10 +67,13 @@
   co_return std::nullopt;
 }
 
-// Why a joint view may be amended: each of its rounds had a majority of the previous voters, and so has each
-// round of the amended view, so that the two never choose apart. Its new voters catch up again under the
-// amended view's own number, from voters that take nothing under the earlier one any more.
-static view next_towards(const view& current, std::vector<voter_info> wanted, std::int64_t epoch) {
+// Returns the view that follows `current` on the way to the wanted voters.
+//
+// Why the new voters of a joint view may be replaced: each round under the joint view had a majority of the
+// previous voters, and so has each round under its successor, so that the two can't choose different values.
+// The new voters catch up again under the successor's number, from voters that no longer accept anything
+// under the earlier view.
+static view next_view(const view& current, std::vector<voter_info> wanted, std::int64_t epoch) {
   view next = current;
   next.number += 1;
   next.epoch = std::max(current.epoch, epoch);
@@ -86,22 +91,22 @@
   if (consensus::same_voters(wanted, current->voters)) co_return *current;
   for (auto& voter : wanted) {
     if (current->includes(voter.id)) continue;
-    auto unfit = co_await check_joining(group.endpoint(), current->group, voter);
-    if (unfit) co_return *unfit;
+    auto error = co_await check_joining_voter(group.endpoint(), current->group, voter);
+    if (error) co_return *error;
   }
-  view next = next_towards(*current, std::move(wanted), epoch);
-  bool chosen = co_await choose(catalog, next, deadline);
+  view next = next_view(*current, std::move(wanted), epoch);
+  bool chosen = co_await choose_view(catalog, next, deadline);
   if (!chosen) co_return move_error::lost_race;
   co_return next;
 }
 
-static task<bool> end_joint(proposer group, proposer catalog, view joint, microseconds deadline) {
+static task<bool> end_joint_view(proposer group, proposer catalog, view joint, microseconds deadline) {
   bool caught_up = co_await catch_up_group(group, joint, deadline);
   if (!caught_up) co_return false;
   view last = joint;
   last.number += 1;
   last.previous_voters.clear();
-  bool chosen = co_await choose(catalog, last, deadline);
+  bool chosen = co_await choose_view(catalog, last, deadline);
   if (!chosen) co_return false;
   co_return co_await install_at_quorum(group, last, joint.leaving(), deadline);
 }
@@ -109,12 +114,12 @@
 task<bool> finish_move(proposer group, proposer catalog, microseconds deadline) {
   auto current = co_await agreed_view(catalog, group.current_view().group, deadline);
   if (!current) co_return false;
-  // Chosen, but perhaps not yet installed by a quorum; installing again is harmless.
+  // The agreed view may not be installed at a quorum yet. Installing it again has no effect.
   bool to_install = current->joint() || current->number > group.current_view().number;
   if (!to_install) co_return true;
   bool installed = co_await install_chosen(group, *current, deadline);
   if (!installed || !current->joint()) co_return installed;
-  co_return co_await end_joint(group, catalog, *current, deadline);
+  co_return co_await end_joint_view(group, catalog, *current, deadline);
 }
 
 task<move_result> replace_voter(proposer group, proposer catalog, replacement wanted, microseconds deadline) {
--- a/src/reconfiguration/view_install.cc
+++ b/src/reconfiguration/view_install.cc
@@ -24,8 +24,10 @@
   results.push({id, installed});
 }
 
-// Asks each founder for its identity, which goes into the view. Nothing: one is out of reach.
-task<std::optional<std::vector<rpc::identify_reply>>> identify_founders(rpc::endpoint endpoint, view* first) {
+// Asks each voter of the first view for its identity and enters it into the view. Nullopt if one doesn't
+// reply.
+task<std::optional<std::vector<rpc::identify_reply>>> identify_initial_voters(rpc::endpoint endpoint,
+                                                                              view* first) {
   std::vector<rpc::identify_reply> replies;
   for (auto& voter : first->voters) {
     rpc::identify_request request{first->group};
@@ -38,10 +40,11 @@
   co_return replies;
 }
 
-// What stands against laying the first view over these voters.
-std::optional<move_error> check_founders(const std::vector<rpc::identify_reply>& replies, const view& first) {
+// Why the first view can't be installed at these voters; nullopt if it can.
+std::optional<move_error> check_initial_voters(const std::vector<rpc::identify_reply>& replies,
+                                               const view& first) {
   for (auto& reply : replies) {
-    // A first view over a voter that has another one would split the group.
+    // Installing a first view at a voter that has another view would split the group.
     bool other_view = !reply.view.empty() && consensus::view_from_text(reply.view) != first;
     if (other_view) return move_error::already_there;
     if (!reply.empty && reply.view.empty()) return move_error::not_empty;
@@ -58,8 +61,8 @@
   co_return reply && reply->status == rpc::reply_status::ok;
 }
 
-// The voters are asked at once, so that one which is out of reach costs the others nothing. One that hears of
-// the view late learns it from any proposer that knows it.
+// Requests go to all voters concurrently, so that an unreachable one doesn't delay the others. A voter that
+// misses the installation gets the view later from any proposer that knows it.
 task<bool> install_at_quorum(proposer group, view chosen, std::vector<voter_info> leaving,
                              microseconds deadline) {
   auto endpoint = group.endpoint();
@@ -91,8 +94,8 @@
 }
 
 task<bool> install_chosen(proposer group, view chosen, microseconds deadline) {
-  std::vector<voter_info> nobody;
-  co_return co_await install_at_quorum(group, std::move(chosen), nobody, deadline);
+  std::vector<voter_info> none_leaving;
+  co_return co_await install_at_quorum(group, std::move(chosen), none_leaving, deadline);
 }
 
 task<move_result> begin_group(rpc::endpoint endpoint, std::string group, std::vector<voter_info> voters,
@@ -101,9 +104,9 @@
   first.group = group;
   first.number = 1;
   first.voters = voters;
-  auto replies = co_await identify_founders(endpoint, &first);
+  auto replies = co_await identify_initial_voters(endpoint, &first);
   if (!replies) co_return move_error::unreachable;
-  if (auto against = check_founders(*replies, first)) co_return *against;
+  if (auto error = check_initial_voters(*replies, first)) co_return *error;
   std::size_t installed = 0;
   while (installed < first.voters.size()) {
     if (endpoint.runtime().now() >= deadline) co_return move_error::unreachable;
--- a/tests/membership_change_test.cc
+++ b/tests/membership_change_test.cc
@@ -1,5 +1,5 @@
-// Moves of a group of voters under loss: joint views that are amended or given up, growth, and ballots that
-// cross a change of the view.
+// Reconfiguration of a group of voters while machines are lost: joint views that are replaced or given up,
+// growing and shrinking, and ballots that were prepared under an earlier view.
 #include <algorithm>
 
 #include "reconfiguration/group_catch_up.h"
@@ -15,14 +15,14 @@
   return [value](const std::optional<std::string>&) { return std::optional<std::string>(value); };
 }
 
-// Writes the group's view down as a register key of its own, as the core does.
-void lay_view(group& site, consensus::proposer writer) {
+// Writes the group's view to its register, as the core group does.
+void record_current_view(group& site, consensus::proposer writer) {
   consensus::view first = writer.current_view();
-  auto lay = [first](const std::optional<std::string>&) {
+  auto write_first = [first](const std::optional<std::string>&) {
     return std::optional<std::string>(consensus::to_text(first));
   };
-  site.run("w",
-           writer.change(reconfiguration::view_register_key("store"), lay, site.deadline("w", 3 * second)));
+  site.run("w", writer.change(reconfiguration::view_register_key("store"), write_first,
+                              site.deadline("w", 3 * second)));
 }
 
 void write_keys(group& site, consensus::proposer writer, int count) {
@@ -49,15 +49,16 @@
   return consensus::has_majority(set, [&](const std::string& id) { return chosen.count(id) > 0; });
 }
 
-// The definition itself: every majority of the new voters meets a holder, whichever majority accepted.
-bool copies_suffice_by_enumeration(const consensus::view& joint, const std::set<std::string>& filled) {
+// The definition, by enumeration: whichever majority of the previous voters accepted a value, a majority of
+// the new voters holds it.
+bool copies_suffice_by_enumeration(const consensus::view& joint, const std::set<std::string>& caught_up) {
   for (unsigned accepted = 0; accepted < (1u << joint.previous_voters.size()); ++accepted) {
     auto holders = subset_of(joint.previous_voters, accepted);
     if (!is_majority(joint.previous_voters, holders)) continue;
-    holders.insert(filled.begin(), filled.end());
+    holders.insert(caught_up.begin(), caught_up.end());
     std::set<std::string> holding_voters;
-    for (auto& place : joint.voters)
-      if (holders.count(place.id)) holding_voters.insert(place.id);
+    for (auto& voter : joint.voters)
+      if (holders.count(voter.id)) holding_voters.insert(voter.id);
     if (!is_majority(joint.voters, holding_voters)) return false;
   }
   return true;
@@ -65,7 +66,7 @@
 
 }  // namespace
 
-TEST_CASE("copies suffice exactly when each value accepted before is at a majority after") {
+TEST_CASE("copies suffice exactly when a majority of the new voters holds each value accepted before") {
   std::vector<consensus::voter_info> machines;
   for (int each = 0; each < 7; ++each) machines.push_back({"v" + std::to_string(each), "", "", ""});
   int ends = 0, waits = 0;
@@ -78,10 +79,10 @@
         auto from = machines.begin() + static_cast<std::ptrdiff_t>(offset);
         joint.voters.assign(from, from + static_cast<std::ptrdiff_t>(after));
         for (unsigned mask = 0; mask < (1u << after); ++mask) {
-          auto filled = subset_of(joint.voters, mask);
-          bool suffices = reconfiguration::copies_suffice(joint, filled);
+          auto caught_up = subset_of(joint.voters, mask);
+          bool suffices = reconfiguration::copies_suffice(joint, caught_up);
           (suffices ? ends : waits) += 1;
-          REQUIRE(suffices == copies_suffice_by_enumeration(joint, filled));
+          REQUIRE(suffices == copies_suffice_by_enumeration(joint, caught_up));
         }
       }
     }
@@ -90,11 +91,11 @@
   CHECK(waits > 50);
 }
 
-TEST_CASE("a joint view whose joining voter is lost moves on to another one, or back") {
+TEST_CASE("a joint view whose joining voter is lost can be changed to another voter or given up") {
   for (bool back : {false, true}) {
     group site(21, 5);
     auto writer = site.begin();
-    lay_view(site, writer);
+    record_current_view(site, writer);
     write_keys(site, writer, 20);
     auto first = writer.current_view();
     auto joint = begin(site, writer, {"s1", "s2", "s4"});
@@ -110,7 +111,7 @@
     REQUIRE(site.run("w", reconfiguration::finish_move(writer, writer, site.deadline("w", 5 * second))));
     REQUIRE_FALSE(writer.current_view().joint());
     REQUIRE(writer.current_view().includes(site.voters[back ? "s3" : "s5"]->id()));
-    // And a second loss right after it is borne.
+    // A second loss right after the move loses no record.
     site.world.kill("s1", simulator::disk_loss::all, true);
     for (int each = 0; each < 20; ++each) {
       auto now = site.run("w", writer.read("k" + std::to_string(each), site.deadline("w", 5 * second)));
@@ -119,10 +120,10 @@
   }
 }
 
-TEST_CASE("a group grows from three to five under writes and then bears two losses") {
+TEST_CASE("a group grows from three voters to five and then survives the loss of two") {
   group site(22, 5);
   auto writer = site.begin();
-  lay_view(site, writer);
+  record_current_view(site, writer);
   write_keys(site, writer, 20);
   begin(site, writer, {"s1", "s2", "s3", "s4", "s5"});
   REQUIRE(site.run("w", reconfiguration::finish_move(writer, writer, site.deadline("w", 5 * second))));
@@ -138,10 +139,10 @@
 TEST_CASE("a group shrinks from five to three with every record at a majority of the three") {
   group site(23, 5);
   auto writer = site.begin();
-  lay_view(site, writer);
+  record_current_view(site, writer);
   begin(site, writer, {"s1", "s2", "s3", "s4", "s5"});
   REQUIRE(site.run("w", reconfiguration::finish_move(writer, writer, site.deadline("w", 5 * second))));
-  // One of those that stay misses what the leaving ones accepted.
+  // s1 stays and misses the values that the leaving voters accept.
   site.world.cut("w", "s1");
   write_keys(site, writer, 20);
   site.world.heal("w", "s1");
@@ -155,10 +156,10 @@
   }
 }
 
-TEST_CASE("a mover whose epoch was superseded lays no view") {
+TEST_CASE("a move under a superseded epoch is refused") {
   group site(24, 5);
   auto writer = site.begin();
-  lay_view(site, writer);
+  record_current_view(site, writer);
   auto wanted = site.places({"s1", "s2", "s4"});
   auto newer =
       site.run("w", reconfiguration::begin_move(writer, writer, wanted, 7, site.deadline("w", 5 * second)));
@@ -169,10 +170,10 @@
   REQUIRE(std::get<reconfiguration::move_error>(older) == reconfiguration::move_error::superseded);
 }
 
-TEST_CASE("a ballot that was prepared before a move and reached one voter doesn't outrank what came after") {
+TEST_CASE("a ballot that was prepared before a move and accepted by one voter doesn't outrank later values") {
   group site(25, 4);
   auto writer = site.begin();
-  lay_view(site, writer);
+  record_current_view(site, writer);
   site.run("w", writer.change("k", set_to("first"), site.deadline("w", 3 * second)));
   // A writer whose clock is far ahead prepares at s2 and s3; its accept reaches s2 alone.
   auto view_number = writer.current_view().number;
