--- a/src/control_node/context.cc
+++ b/src/control_node/context.cc
@@ -8,12 +8,12 @@
 }
 
 void context::learn_config(const std::string& text, const std::string& source) {
-  // The register is read several times a second and changes seldom.
-  if (text == learned_text) return;
+  // The register is read several times a second and changes seldom: skip parsing the same text again.
+  if (text == last_learned_text) return;
   auto content = configuration::record_from_text(text);
   if (!content) return;
-  learned_text = text;
-  // What an operator sent is kept in the register alone; those who route need only what it means.
+  last_learned_text = text;
+  // The operator's source text stays in the register alone: routing needs only the table made from it.
   bool reduced = !content->operator_source.empty();
   auto distributed = reduced ? to_text(configuration::without_operator_source(*content)) : text;
   if (!configs.set_config(content->revision, distributed)) return;
--- a/src/control_node/node.cc
+++ b/src/control_node/node.cc
@@ -9,15 +9,15 @@
 
 namespace herontally::control_node {
 
-static replication::voter_options voter_options_of(const settings::settings& place) {
+static replication::voter_options voter_options_of(const settings::settings& node_settings) {
   replication::voter_options options;
   options.group = core_group;
   options.bucket_count = 1;
-  options.limit_bytes = place.disk_megabytes << 20;
+  options.limit_bytes = node_settings.disk_megabytes << 20;
   return options;
 }
 
-// The node's parts, wired together; each header tells what a part is for and which state it owns.
+// The node's parts. Each part's header says what it does and which state it owns.
 struct node::state {
   std::shared_ptr<context> shared;
   replication::voter voter;
@@ -34,24 +34,25 @@
   std::shared_ptr<operator_api> operators;
   std::shared_ptr<platform_operator_api> platform_operators;
 
-  explicit state(std::shared_ptr<context> made)
-      : shared(made),
-        voter(made->endpoint, voter_options_of(made->place)),
-        reader(std::make_shared<config_reader>(made, voter)),
-        changes(std::make_shared<config_changes>(made)),
-        edges(std::make_shared<edge_set_manager>(made, changes, reader)),
-        publisher(std::make_shared<engine_list_publisher>(made)),
-        poller(std::make_shared<engine_list_poller>(made, publisher)),
-        calendars(std::make_shared<calendar_scheduler>(made, changes)),
-        directory(std::make_shared<storage_directory>(made)),
-        core_manager(std::make_shared<voter_group_manager>(made, made->catalog, core_group,
+  explicit state(std::shared_ptr<context> node_context)
+      : shared(node_context),
+        voter(node_context->endpoint, voter_options_of(node_context->place)),
+        reader(std::make_shared<config_reader>(node_context, voter)),
+        changes(std::make_shared<config_changes>(node_context)),
+        edges(std::make_shared<edge_set_manager>(node_context, changes, reader)),
+        publisher(std::make_shared<engine_list_publisher>(node_context)),
+        poller(std::make_shared<engine_list_poller>(node_context, publisher)),
+        calendars(std::make_shared<calendar_scheduler>(node_context, changes)),
+        directory(std::make_shared<storage_directory>(node_context)),
+        core_manager(std::make_shared<voter_group_manager>(node_context, node_context->catalog, core_group,
                                                            rpc::node_role::core, nullptr)),
-        store_manager(std::make_shared<voter_group_manager>(made, made->stores, store_group,
+        store_manager(std::make_shared<voter_group_manager>(node_context, node_context->stores, store_group,
                                                             rpc::node_role::store, directory)),
-        founder(std::make_shared<group_founder>(made, voter)),
-        stalls(std::make_shared<stall_detector>(made)),
-        operators(std::make_shared<operator_api>(made, changes, reader)),
-        platform_operators(std::make_shared<platform_operator_api>(made, changes, directory, stalls)) {}
+        founder(std::make_shared<group_founder>(node_context, voter)),
+        stalls(std::make_shared<stall_detector>(node_context)),
+        operators(std::make_shared<operator_api>(node_context, changes, reader)),
+        platform_operators(
+            std::make_shared<platform_operator_api>(node_context, changes, directory, stalls)) {}
 
   void set_seeds();
   void serve_requests();
@@ -60,12 +61,13 @@
   bool serve_control();
 };
 
-node::node(runtime::handle runtime, settings::settings place, logging::logger logger,
+node::node(runtime::handle runtime, settings::settings node_settings, logging::logger logger,
            std::shared_ptr<const platform_protocol::adapter> platform_adapter)
     : state_(std::make_shared<state>(std::make_shared<context>(
-          std::move(runtime), std::move(place), std::move(logger), std::move(platform_adapter)))) {}
+          std::move(runtime), std::move(node_settings), std::move(logger), std::move(platform_adapter)))) {}
 node::~node() = default;
 
+// Inner addresses of the role's live members, or the seeds while none is known.
 static std::vector<std::string> addresses_of(const context& shared, rpc::node_role role) {
   std::vector<std::string> addresses;
   for (auto& member : shared.members.live(role)) addresses.push_back(member.inner);
@@ -74,16 +76,16 @@
 
 void node::state::set_seeds() {
   std::weak_ptr<context> weak = shared;
-  auto live_nodes = [weak](rpc::node_role role) {
+  auto live_addresses = [weak](rpc::node_role role) {
     return [weak, role] {
-      auto here = weak.lock();
-      return here ? addresses_of(*here, role) : std::vector<std::string>();
+      auto node_context = weak.lock();
+      return node_context ? addresses_of(*node_context, role) : std::vector<std::string>();
     };
   };
-  shared->catalog.set_seeds(live_nodes(rpc::node_role::core));
-  shared->stores.set_seeds(live_nodes(rpc::node_role::store));
+  shared->catalog.set_seeds(live_addresses(rpc::node_role::core));
+  shared->stores.set_seeds(live_addresses(rpc::node_role::store));
   voter.on_view([weak](const consensus::view& installed) {
-    if (auto here = weak.lock()) here->catalog.learn(installed);
+    if (auto node_context = weak.lock()) node_context->catalog.learn(installed);
   });
 }
 
@@ -119,7 +121,7 @@
   shared->voter_groups_role.start();
   shared->calendar_role.start();
   runtime.spawn(reader->run());
-  // With an adapter an acknowledgement doesn't wait for the edges, so that nobody asks which there are.
+  // With an adapter a change is acknowledged without waiting for the edges, so the set of edges isn't kept.
   if (shared->platform_adapter) {
     runtime.spawn(poller->run());
     runtime.spawn(founder->found_core_group());
@@ -139,8 +141,8 @@
   auto serve = [runtime = shared->runtime, logger = shared->logger,
                 weak = std::weak_ptr<operator_api>(operators)](runtime::inbound_request request,
                                                                http_api::writer out) {
-    auto here = weak.lock();
-    if (here) runtime.spawn(http_api::serve_guarded(here->serve(std::move(request), out), out, logger));
+    auto api = weak.lock();
+    if (api) runtime.spawn(http_api::serve_guarded(api->serve(std::move(request), out), out, logger));
   };
   return shared->runtime.http_serve(shared->place.http, serve);
 }
@@ -150,27 +152,29 @@
   auto serve = [runtime = shared->runtime, logger = shared->logger,
                 weak = std::weak_ptr<platform_operator_api>(platform_operators)](
                    runtime::inbound_request request, http_api::writer out) {
-    auto here = weak.lock();
-    if (here) runtime.spawn(http_api::serve_guarded(here->serve(std::move(request), out), out, logger));
+    auto api = weak.lock();
+    if (api) runtime.spawn(http_api::serve_guarded(api->serve(std::move(request), out), out, logger));
   };
   return shared->runtime.http_serve(shared->place.control, serve);
 }
 
 task<std::optional<std::string>> node::start() {
   auto self = state_;
-  auto& place = self->shared->place;
+  auto& node_settings = self->shared->place;
   self->set_seeds();
   auto fault = co_await self->voter.open();
-  if (fault == replication::open_error::failed) co_return "data can't be read or written: " + place.data;
+  if (fault == replication::open_error::failed)
+    co_return "can't read or write the data folder: " + node_settings.data;
   auto& installed = self->voter.current_view();
   if (installed.number > 0) self->shared->catalog.learn(installed);
   self->serve_requests();
   self->shared->members.start();
-  // Only now can every message be answered.
-  if (!self->shared->endpoint.listen(place.inner)) co_return "inner can't be listened on: " + place.inner;
+  // Listen only now: from here on every kind of message has its handler.
+  if (!self->shared->endpoint.listen(node_settings.inner))
+    co_return "can't listen on the inner address: " + node_settings.inner;
   self->start_tasks();
-  if (!self->serve_http()) co_return "http can't be listened on: " + place.http;
-  if (!self->serve_control()) co_return "control can't be listened on: " + place.control;
+  if (!self->serve_http()) co_return "can't listen on the http address: " + node_settings.http;
+  if (!self->serve_control()) co_return "can't listen on the control address: " + node_settings.control;
   self->shared->logger.info("started", {{"voter", self->voter.id()}});
   co_return std::nullopt;
 }
@@ -183,18 +187,20 @@
 }
 
 task<> node::leave() {
-  // Operators' calls that were read get their answer.
+  // Clients have this long to close their connections. After it only operators' calls that were already read
+  // are waited for: they still get their answer.
   constexpr microseconds drain_time = second;
+  // Left of the notice for the process to end by itself.
   constexpr std::int64_t reserve_milliseconds = 200;
   auto shared = state_->shared;
   shared->leaving = true;
-  auto until = shared->runtime.now() + drain_time;
-  auto latest =
+  auto drain_until = shared->runtime.now() + drain_time;
+  auto drain_deadline =
       shared->runtime.now() + (shared->place.notice_milliseconds - reserve_milliseconds) * millisecond;
   co_await shared->members.leave();
   std::vector<std::string> addresses{shared->place.http};
   if (!shared->place.control.empty()) addresses.push_back(shared->place.control);
-  co_await runtime::drain_connections(shared->runtime, addresses, until, latest);
+  co_await runtime::drain_connections(shared->runtime, addresses, drain_until, drain_deadline);
 }
 
 }  // namespace herontally::control_node
