--- a/src/control_node/operator_api.cc
+++ b/src/control_node/operator_api.cc
@@ -14,20 +14,20 @@
 constexpr microseconds read_timeout = second;
 constexpr const char* no_majority = "no majority of the core can be reached";
 
-std::map<std::string, std::string> version_tag(std::int64_t version) {
+std::map<std::string, std::string> etag_header(std::int64_t version) {
   return {{"ETag", "\"" + std::to_string(version) + "\""}};
 }
 
-void reply_report(const http_api::writer& out, const change_report& report) {
+void reply_change_report(const http_api::writer& out, const change_report& report) {
   json body{{"version", report.now.version}, {"revision", report.now.revision}};
-  auto tag = version_tag(report.now.version);
+  auto etag = etag_header(report.now.version);
   switch (report.outcome) {
     case change_outcome::applied:
       body["in_force"] = true;
-      return reply_json(out, 200, body, tag);
+      return reply_json(out, 200, body, etag);
     case change_outcome::chosen:
       body["in_force"] = false;
-      return reply_json(out, 202, body, tag);
+      return reply_json(out, 202, body, etag);
     case change_outcome::stale:
       return reject(out, 412, "the expected version is not the current one", executed::no, 0, body);
     case change_outcome::invalid:
@@ -44,9 +44,10 @@
   }
 }
 
-// The If-Match header. Nothing: there is none; -1: it names no version.
+// The version in the If-Match header. Nothing: there is no such header; -1: it doesn't hold a version, which
+// matches none.
 std::optional<std::int64_t> expected_version(const runtime::inbound_request& request) {
-  constexpr std::size_t max_digits = 18;
+  constexpr std::size_t max_digits = 18;  // as many always fit into 64 bits
   auto found = request.headers.find("if-match");
   if (found == request.headers.end()) return std::nullopt;
   std::string text = found->second;
@@ -56,30 +57,31 @@
   return number ? std::stoll(text) : -1;
 }
 
-// What a PUT or PATCH asks for.
+// The change that a PUT or PATCH of the document asks for.
 struct document_change {
   json body;
-  bool patch = false;
+  bool patch = false;  // a JSON merge patch; otherwise the whole document or a partner's section
   std::string partner;
   std::int64_t expected_version = 0;
 };
 
-json document_after(const json& current, const document_change& asked) {
-  if (asked.patch) {
+// The document as it would be after the change.
+json document_after(const json& current, const document_change& requested) {
+  if (requested.patch) {
     json next = current;
-    next.merge_patch(asked.body);
+    next.merge_patch(requested.body);
     return next;
   }
-  // A partner that puts its whole section leaves the others' as they are.
+  // A PUT of a partner's own section leaves the other partners' sections as they are.
   bool own_section =
-      asked.partner != all_partners && asked.body.size() == 1 && asked.body.contains("partners");
-  if (!own_section) return asked.body;
+      requested.partner != all_partners && requested.body.size() == 1 && requested.body.contains("partners");
+  if (!own_section) return requested.body;
   json next = current;
-  for (auto& [name, section] : asked.body["partners"].items()) next["partners"][name] = section;
+  for (auto& [name, section] : requested.body["partners"].items()) next["partners"][name] = section;
   return next;
 }
 
-// A partner's operators see their own section and the shared one.
+// The part of the document that a partner's operators may see: their own section and the shared one.
 json visible_document(const json& document, const std::string& partner) {
   if (partner == all_partners) return document;
   json visible = document, own = json::object();
@@ -88,6 +90,7 @@
   return visible;
 }
 
+// Whether `body` lists an odd number of ip:port for the group.
 bool is_address_list(const json& body, const std::string& group) {
   if (!body.is_object() || !body.contains(group)) return false;
   auto& list = body[group];
@@ -97,7 +100,8 @@
   return true;
 }
 
-// A member under each address; the first one without a node is unknown.
+// A voter for each address, with the name and zone of the member there; `node` is empty if no member is known
+// at the address.
 std::vector<consensus::voter_info> voters_at(const json& addresses, const membership::member_list& members) {
   std::vector<consensus::voter_info> voters;
   for (auto& address : addresses) {
@@ -114,17 +118,17 @@
 
 }  // namespace
 
-std::optional<std::string> operator_api::partner_of(const runtime::inbound_request& request) const {
+std::optional<std::string> operator_api::authorized_partner(const runtime::inbound_request& request) const {
   auto token = http_api::bearer(request);
   for (auto& known : context_->place.operators)
     if (!token.empty() && known.token == token) return known.partner;
   return std::nullopt;
 }
 
-task<> operator_api::change(edit wanted, http_api::writer out) {
+task<> operator_api::change(edit requested_edit, http_api::writer out) {
   auto self = shared_from_this();
-  auto report = co_await self->changes_->change(std::move(wanted));
-  reply_report(out, report);
+  auto report = co_await self->changes_->change(std::move(requested_edit));
+  reply_change_report(out, report);
 }
 
 task<> operator_api::read_config(http_api::writer out, std::string partner) {
@@ -139,17 +143,17 @@
   json body{{"version", content.version},
             {"revision", content.revision},
             {"desired", visible_document(content.document, partner)}};
-  reply_json(out, 200, body, version_tag(content.version));
+  reply_json(out, 200, body, etag_header(content.version));
 }
 
 task<> operator_api::change_config(runtime::inbound_request request, http_api::writer out,
                                    std::string partner) {
   auto self = shared_from_this();
-  document_change asked;
-  asked.body = serialization::parse_bounded(request.body).value_or(json());
-  asked.patch = request.method == "PATCH";
-  asked.partner = partner;
-  if (!asked.body.is_object()) {
+  document_change requested;
+  requested.body = serialization::parse_bounded(request.body).value_or(json());
+  requested.patch = request.method == "PATCH";
+  requested.partner = partner;
+  if (!requested.body.is_object()) {
     reject(out, 400, "the body is not a JSON object", executed::no);
     co_return;
   }
@@ -158,18 +162,19 @@
     reject(out, 428, "If-Match with the expected version is needed", executed::no);
     co_return;
   }
-  asked.expected_version = *expected;
-  edit wanted = [self, asked](const configuration::record& current, const std::string& change_id) {
-    if (current.version != asked.expected_version) return edit_result{};
-    return judge(current, document_after(current.document, asked), asked.partner, change_id,
-                 site_state_of(*self->context_));
+  requested.expected_version = *expected;
+  edit requested_edit = [self, requested](const configuration::record& current,
+                                          const std::string& change_id) {
+    if (current.version != requested.expected_version) return edit_result{};
+    return validate_change(current, document_after(current.document, requested), requested.partner, change_id,
+                           deployment_state_of(*self->context_));
   };
-  co_await self->change(wanted, out);
+  co_await self->change(requested_edit, out);
 }
 
 task<> operator_api::serve_config(runtime::inbound_request request, http_api::writer out) {
   auto self = shared_from_this();
-  auto partner = self->partner_of(request);
+  auto partner = self->authorized_partner(request);
   if (!partner) {
     reject(out, 401, "a bearer token from the settings is needed", executed::no);
   } else if (request.method == "GET") {
@@ -184,15 +189,15 @@
 task<> operator_api::serve_evacuation(runtime::inbound_request request, http_api::writer out,
                                       std::string zone) {
   auto self = shared_from_this();
-  auto partner = self->partner_of(request);
+  auto partner = self->authorized_partner(request);
   if (!partner || (request.method != "PUT" && request.method != "DELETE")) {
     reject(out, partner ? 405 : 401, partner ? "use PUT or DELETE" : "a bearer token is needed",
            executed::no);
     co_return;
   }
   bool begin = request.method == "PUT";
-  edit wanted = [self, zone, begin, partner = *partner](const configuration::record& current,
-                                                        const std::string& change_id) {
+  edit requested_edit = [self, zone, begin, partner = *partner](const configuration::record& current,
+                                                                const std::string& change_id) {
     json document = current.document;
     auto zones = configuration::shared_names(document, configuration::evacuated_zones);
     if (begin)
@@ -200,14 +205,16 @@
     else
       zones.erase(zone);
     configuration::set_shared_names(document, configuration::evacuated_zones, zones);
-    return judge(current, std::move(document), partner, change_id, site_state_of(*self->context_));
+    return validate_change(current, std::move(document), partner, change_id,
+                           deployment_state_of(*self->context_));
   };
-  co_await self->change(wanted, out);
+  co_await self->change(requested_edit, out);
 }
 
 task<> operator_api::begin_retirement(http_api::writer out, std::string partner, std::string node) {
   auto self = shared_from_this();
-  edit wanted = [self, node, partner](const configuration::record& current, const std::string& change_id) {
+  edit requested_edit = [self, node, partner](const configuration::record& current,
+                                              const std::string& change_id) {
     json document = current.document;
     auto nodes = configuration::shared_names(document, configuration::retiring_storage);
     if (!nodes.insert(node).second) {
@@ -217,16 +224,17 @@
       return refusal;
     }
     configuration::set_shared_names(document, configuration::retiring_storage, nodes);
-    return judge(current, std::move(document), partner, change_id, site_state_of(*self->context_));
+    return validate_change(current, std::move(document), partner, change_id,
+                           deployment_state_of(*self->context_));
   };
-  co_await self->change(wanted, out);
+  co_await self->change(requested_edit, out);
 }
 
 task<> operator_api::serve_retirement(runtime::inbound_request request, http_api::writer out,
                                       std::string node) {
   auto self = shared_from_this();
   auto shared = self->context_;
-  auto partner = self->partner_of(request);
+  auto partner = self->authorized_partner(request);
   if (!partner) {
     reject(out, 401, "a bearer token is needed", executed::no);
     co_return;
@@ -242,24 +250,23 @@
     reject(out, 503, "the storage view can't be read now", executed::no, 1);
     co_return;
   }
-  bool holds = false, moving = agreed->joint();
-  for (auto& voter : agreed->all_voters()) holds = holds || voter.node == node;
+  bool holds_copies = false, moving = agreed->joint();
+  for (auto& voter : agreed->all_voters()) holds_copies = holds_copies || voter.node == node;
   bool retiring =
       configuration::shared_names(config->document, configuration::retiring_storage).contains(node);
-  // All copies of every key stand elsewhere once a view without the node counts, and no other before it.
-  bool may_go = retiring && !holds && !moving;
-  json body{{"node", node},     {"retiring", retiring},   {"holds_copies", holds},
-            {"moving", moving}, {"view", agreed->number}, {"may_go", may_go}};
-  if (request.method == "DELETE" && !may_go)
+  // Once the agreed view lacks the node and isn't joint, all copies of every key are on other voters.
+  bool removable = retiring && !holds_copies && !moving;
+  json body{{"node", node},     {"retiring", retiring},   {"holds_copies", holds_copies},
+            {"moving", moving}, {"view", agreed->number}, {"may_go", removable}};
+  if (request.method == "DELETE" && !removable)
     reject(out, 409, retiring ? "it still holds one of three copies" : "no retirement was started",
            executed::no, 1, body);
   else
     reply_json(out, 200, body);
 }
 
-// Founds one group and writes its first view. False: the request was answered with what stands against it.
-task<bool> operator_api::begin_group(std::string group, json addresses, http_api::writer out) {
-  constexpr microseconds found_timeout = 5 * second;
+task<bool> operator_api::found_group(std::string group, json addresses, http_api::writer out) {
+  constexpr microseconds founding_timeout = 5 * second;
   auto shared = context_;
   auto voters = voters_at(addresses, shared->members);
   for (auto& voter : voters) {
@@ -267,20 +274,21 @@
     reject(out, 503, "no member is known at " + voter.address, executed::no, 1);
     co_return false;
   }
-  auto begun = co_await reconfiguration::begin_group(shared->endpoint, group, voters,
-                                                     shared->runtime.now() + found_timeout);
-  if (auto* why = std::get_if<reconfiguration::move_error>(&begun)) {
+  auto founded = co_await reconfiguration::begin_group(shared->endpoint, group, voters,
+                                                       shared->runtime.now() + founding_timeout);
+  if (auto* error = std::get_if<reconfiguration::move_error>(&founded)) {
     using reconfiguration::move_error;
-    bool there = *why == move_error::already_there || *why == move_error::not_empty;
-    reject(out, there ? 409 : 503, there ? group + " has begun already" : "a voter can't be reached",
-           executed::no, there ? 0 : 1);
+    bool already_founded = *error == move_error::already_there || *error == move_error::not_empty;
+    reject(out, already_founded ? 409 : 503,
+           already_founded ? group + " has begun already" : "a voter can't be reached", executed::no,
+           already_founded ? 0 : 1);
     co_return false;
   }
-  auto first = std::get<consensus::view>(begun);
-  (group == core_group ? shared->catalog : shared->stores).learn(first);
+  auto first_view = std::get<consensus::view>(founded);
+  (group == core_group ? shared->catalog : shared->stores).learn(first_view);
   auto written = co_await shared->catalog.change(reconfiguration::view_register_key(group),
-                                                 reconfiguration::first_view_if_none(first),
-                                                 shared->runtime.now() + found_timeout, true);
+                                                 reconfiguration::first_view_if_none(first_view),
+                                                 shared->runtime.now() + founding_timeout, true);
   if (!written.value)
     reject(out, 503, "the first view could not be settled; ask again", executed::unknown, 1);
   co_return written.value.has_value();
@@ -288,7 +296,7 @@
 
 task<> operator_api::serve_bootstrap(runtime::inbound_request request, http_api::writer out) {
   auto self = shared_from_this();
-  if (self->partner_of(request) != all_partners) {
+  if (self->authorized_partner(request) != all_partners) {
     reject(out, 401, "a bearer token for every section is needed", executed::no);
     co_return;
   }
@@ -299,8 +307,8 @@
     co_return;
   }
   for (std::string group : {core_group, store_group}) {
-    bool begun = co_await self->begin_group(group, body[group], out);
-    if (!begun) co_return;
+    bool founded = co_await self->found_group(group, body[group], out);
+    if (!founded) co_return;
   }
   reply_json(out, 200, {{"begun", true}});
 }
