--- a/src/control_node/platform_operator_api.cc
+++ b/src/control_node/platform_operator_api.cc
@@ -9,21 +9,22 @@
 
 namespace {
 
-// Callers give a node up after a second of silence.
+// Callers give up on a node after a second without an answer.
 constexpr microseconds command_timeout = 800 * millisecond;
-// This long after its start a core may not have heard of every machine.
-constexpr microseconds introduction_time = 5 * second;
+// For this long after its start a core may not have heard of every machine.
+constexpr microseconds member_discovery_time = 5 * second;
 constexpr std::size_t digest_bytes = 16;
 
-// The digest by which a repeated call is recognised; stored.
+// The digest by which a repeated call is recognised. It is stored with the change: its input must not change.
 std::string digest_of(const platform_protocol::change_command& command) {
   std::string text =
       std::to_string(command.expected) + (command.partial ? "/part/" : "/whole/") + command.body;
   return hashing::sha256_hex(text, digest_bytes);
 }
 
-// What the register's answer makes of an outcome that the mutator found.
-command_status combine(consensus::change_status change, command_status found) {
+// The command's status: the one that the mutator found holds only if the register's change ended with a known
+// value.
+command_status combine(consensus::change_status change, command_status mutator_status) {
   switch (change) {
     case consensus::change_status::unknown:
       return command_status::unclear;
@@ -32,19 +33,21 @@
       return command_status::unreachable;
     case consensus::change_status::committed:
     case consensus::change_status::declined:
-      return found;
+      return mutator_status;
   }
-  return found;
+  return mutator_status;
 }
 
-// Applies a configuration change to the current record, or fills in what stands against it.
+// Applies a configuration change to the current record. Returns the next record, or nothing with the refusal
+// in `reply`; nothing and `done` if the change was applied before.
 std::optional<configuration::record> edit_routing(const configuration::record& current,
                                                   const platform_protocol::change_command& command,
                                                   const platform_protocol::adapter& adapter,
                                                   const std::string& change_id, command_reply& reply) {
   auto digest = digest_of(command);
   reply.version = configuration::routing_version(current);
-  // The same call again, after an answer that was lost; also an earlier round of this very change.
+  // The call was applied already: its answer was lost and the caller repeats it, or an earlier round of this
+  // same change went through.
   if (auto* applied = configuration::find_applied(current, digest)) {
     reply.version = applied->version;
     return std::nullopt;
@@ -87,18 +90,18 @@
       stalls_(std::move(stalls)),
       started_(context_->runtime.now()) {}
 
-command_status platform_operator_api::status_of_unknown() const {
-  bool new_here = context_->runtime.now() - started_ < introduction_time;
-  return new_here ? command_status::unreachable : command_status::unknown_name;
+command_status platform_operator_api::unknown_name_status() const {
+  bool recently_started = context_->runtime.now() - started_ < member_discovery_time;
+  return recently_started ? command_status::unreachable : command_status::unknown_name;
 }
 
-task<command_reply> platform_operator_api::change_record(record_edit wanted) {
+task<command_reply> platform_operator_api::change_record(record_edit apply_edit) {
   auto self = shared_from_this();
   auto shared = self->context_;
   auto reply = std::make_shared<command_reply>();
-  auto mutate = [wanted, reply](const std::optional<std::string>& text) -> std::optional<std::string> {
+  auto mutate = [apply_edit, reply](const std::optional<std::string>& text) -> std::optional<std::string> {
     *reply = command_reply{};
-    auto next = wanted(configuration::record_or_empty(text), *reply);
+    auto next = apply_edit(configuration::record_or_empty(text), *reply);
     if (!next) return std::nullopt;
     return to_text(*next);
   };
@@ -117,10 +120,10 @@
   auto self = shared_from_this();
   auto shared = self->context_;
   std::string change_id = shared->new_change_id();
-  auto wanted = [shared, command, change_id](const configuration::record& current, command_reply& reply) {
+  auto apply_edit = [shared, command, change_id](const configuration::record& current, command_reply& reply) {
     return edit_routing(current, command, *shared->platform_adapter, change_id, reply);
   };
-  auto reply = co_await self->change_record(wanted);
+  auto reply = co_await self->change_record(apply_edit);
   if (reply.status == command_status::done)
     shared->logger.info("routing table chosen", {{"version", reply.version}});
   co_return reply;
@@ -131,7 +134,7 @@
   auto read =
       co_await shared->catalog.read(configuration::config_key, shared->runtime.now() + command_timeout);
   command_reply reply;
-  // Reading writes nothing of its own, so that an unfinished reading is only out of reach.
+  // A read changes no value, so an unfinished one is reported as unreachable, never as unclear.
   if (!read.known()) {
     reply.status = command_status::unreachable;
     co_return reply;
@@ -143,16 +146,17 @@
   co_return reply;
 }
 
-// Whether the zone is known, and whether one would be left, is the operator's affair on this path.
+// Unlike the product's own API this doesn't check that the zone is known and that a zone in use would be
+// left: on the platform that is the operator's responsibility.
 task<command_reply> platform_operator_api::evacuate(platform_protocol::evacuate_command command,
                                                     abandonment_check abandoned) {
   auto self = shared_from_this();
   auto shared = self->context_;
   std::string change_id = shared->new_change_id();
   auto changed = std::make_shared<bool>(false);
-  auto wanted = [command, change_id, abandoned, changed](
-                    const configuration::record& current,
-                    command_reply& reply) -> std::optional<configuration::record> {
+  auto apply_edit = [command, change_id, abandoned, changed](
+                        const configuration::record& current,
+                        command_reply& reply) -> std::optional<configuration::record> {
     if (abandoned()) {
       reply.status = command_status::unreachable;
       return std::nullopt;
@@ -164,7 +168,7 @@
     configuration::set_shared_names(document, configuration::evacuated_zones, zones);
     return configuration::next_revision(current, document, change_id);
   };
-  auto reply = co_await self->change_record(wanted);
+  auto reply = co_await self->change_record(apply_edit);
   if (reply.status == command_status::done && *changed)
     shared->logger.info(command.begin ? "evacuation begun" : "evacuation ended", {{"zone", command.zone}});
   co_return reply;
@@ -179,39 +183,39 @@
   auto agreed = co_await reconfiguration::agreed_view(shared->catalog, store_group,
                                                       shared->runtime.now() + command_timeout / 2);
   if (!agreed) co_return unreachable;
-  auto listed = co_await self->directory_->agreed(shared->runtime.now() + command_timeout / 2);
-  if (!listed) co_return unreachable;
-  for (auto& voter : agreed->all_voters()) listed->known.insert(voter.node);
+  auto storage = co_await self->directory_->read_agreed_list(shared->runtime.now() + command_timeout / 2);
+  if (!storage) co_return unreachable;
+  for (auto& voter : agreed->all_voters()) storage->known.insert(voter.node);
   std::string change_id = shared->new_change_id();
-  auto if_unknown = self->status_of_unknown();
-  bool new_here = if_unknown == command_status::unreachable;
-  auto wanted = [command, storage = *listed, change_id, if_unknown, new_here, abandoned,
-                 copies = agreed->voters.size()](
-                    const configuration::record& current,
-                    command_reply& reply) -> std::optional<configuration::record> {
+  auto unknown_status = self->unknown_name_status();
+  bool recently_started = unknown_status == command_status::unreachable;
+  auto apply_edit = [command, storage = *storage, change_id, unknown_status, recently_started, abandoned,
+                     copy_count = agreed->voters.size()](
+                        const configuration::record& current,
+                        command_reply& reply) -> std::optional<configuration::record> {
     if (abandoned()) {
       reply.status = command_status::unreachable;
       return std::nullopt;
     }
     auto retiring = configuration::shared_names(current.document, configuration::retiring_storage);
-    // Under way, and asked for again: that is what was asked for.
+    // A repeated command for a retirement that has begun: nothing to do, and a success.
     if (retiring.contains(command.node)) return std::nullopt;
     if (!storage.known.contains(command.node)) {
-      reply.status = if_unknown;
+      reply.status = unknown_status;
       return std::nullopt;
     }
     retiring.insert(command.node);
-    std::size_t left = 0;
-    for (auto& name : storage.live) left += retiring.contains(name) ? 0 : 1;
-    if (left < copies) {
-      reply.status = new_here ? command_status::unreachable : command_status::too_few;
+    std::size_t remaining = 0;
+    for (auto& name : storage.live) remaining += retiring.contains(name) ? 0 : 1;
+    if (remaining < copy_count) {
+      reply.status = recently_started ? command_status::unreachable : command_status::too_few;
       return std::nullopt;
     }
     json document = current.document;
     configuration::set_shared_names(document, configuration::retiring_storage, retiring);
     return configuration::next_revision(current, document, change_id);
   };
-  co_return co_await self->change_record(wanted);
+  co_return co_await self->change_record(apply_edit);
 }
 
 task<command_reply> platform_operator_api::retire_status(platform_protocol::retire_status_command command) {
@@ -222,21 +226,21 @@
   auto deadline = shared->runtime.now() + command_timeout;
   auto read = co_await shared->catalog.read(configuration::config_key, deadline);
   if (!read.known()) co_return reply;
-  // Read after the configuration: a view from before it could miss a move that has begun since.
+  // The view is read after the configuration: read before it, it could miss a move that began in between.
   auto agreed = co_await reconfiguration::agreed_view(shared->catalog, store_group, deadline);
   if (!agreed) co_return reply;
   auto content = configuration::record_or_empty(read.value);
   bool retiring =
       configuration::shared_names(content.document, configuration::retiring_storage).contains(command.node);
-  bool holds = false;
-  for (auto& voter : agreed->all_voters()) holds = holds || voter.node == command.node;
+  bool holds_copies = false;
+  for (auto& voter : agreed->all_voters()) holds_copies = holds_copies || voter.node == command.node;
   auto member = shared->members.find(command.node);
-  bool known = retiring || holds || (member && member->role == rpc::node_role::store);
-  bool emptied = retiring && !holds && !agreed->joint();
+  bool known = retiring || holds_copies || (member && member->role == rpc::node_role::store);
+  bool emptied = retiring && !holds_copies && !agreed->joint();
   if (emptied)
     reply.status = command_status::done;
   else
-    reply.status = known ? command_status::rolling : self->status_of_unknown();
+    reply.status = known ? command_status::rolling : self->unknown_name_status();
   co_return reply;
 }
 
@@ -246,16 +250,16 @@
   if (auto* change = std::get_if<protocol::change_command>(&command))
     co_return co_await change_routing(std::move(*change));
   if (std::holds_alternative<protocol::read_command>(command)) co_return co_await read_routing();
-  if (auto* zone = std::get_if<protocol::evacuate_command>(&command))
-    co_return co_await evacuate(*zone, abandoned);
-  if (auto* node = std::get_if<protocol::retire_command>(&command))
-    co_return co_await retire(*node, abandoned);
-  if (auto* node = std::get_if<protocol::retire_status_command>(&command))
-    co_return co_await retire_status(*node);
+  if (auto* evacuation = std::get_if<protocol::evacuate_command>(&command))
+    co_return co_await evacuate(*evacuation, abandoned);
+  if (auto* retirement = std::get_if<protocol::retire_command>(&command))
+    co_return co_await retire(*retirement, abandoned);
+  if (auto* query = std::get_if<protocol::retire_status_command>(&command))
+    co_return co_await retire_status(*query);
   command_reply reply;
   auto* unknown = std::get_if<protocol::unknown_command>(&command);
-  bool wrong_use = unknown && unknown->known_path;
-  reply.status = wrong_use ? command_status::invalid : command_status::unknown_name;
+  bool known_path = unknown && unknown->known_path;
+  reply.status = known_path ? command_status::invalid : command_status::unknown_name;
   co_return reply;
 }
 
--- a/src/control_node/stall_detector.cc
+++ b/src/control_node/stall_detector.cc
@@ -3,9 +3,9 @@
 namespace herontally::control_node {
 
 constexpr microseconds heartbeat_period = 100 * millisecond;
-// Callers give up after a second of silence.
+// Callers give up after a second without an answer.
 constexpr microseconds max_stall = 800 * millisecond;
-// What came in during a stall has been handed over by then.
+// By this time after a stall's end the requests that came in during it have been handed to their handlers.
 constexpr microseconds recovery_time = max_stall / 4;
 
 abandonment_check stall_detector::abandonment_of(http_api::writer out) {
@@ -27,10 +27,10 @@
   while (true) {
     co_await shared->runtime.sleep(heartbeat_period);
     auto now = shared->runtime.now();
-    auto silence = now - self->last_heartbeat_;
-    if (silence > max_stall) {
+    auto gap = now - self->last_heartbeat_;
+    if (gap > max_stall) {
       self->stall_ended_ = now;
-      shared->logger.warn("this process stood still", {{"milliseconds", silence / millisecond}});
+      shared->logger.warn("this process was stalled", {{"milliseconds", gap / millisecond}});
     }
     self->last_heartbeat_ = now;
   }
