--- a/src/control_node/calendar_scheduler.cc
+++ b/src/control_node/calendar_scheduler.cc
@@ -22,8 +22,8 @@
   return due;
 }
 
-// The change's id holds the minute: so it happens once for each of the calendar's times, whichever core makes
-// it.
+// The change's id contains the minute, so that the switch is made once for each of the calendar's times,
+// whichever core makes it.
 static std::string change_id_of(const std::string& partner, const std::string& calendar,
                                 std::int64_t minute) {
   return "calendar/" + partner + "/" + calendar + "/" + std::to_string(minute);
@@ -47,7 +47,7 @@
                                                 shared->runtime.now() + change_timeout);
   if (result.status != consensus::change_status::committed || !result.value) co_return;
   shared->learn_config(*result.value, "calendar");
-  shared->logger.info("calendar switched a table",
+  shared->logger.info("calendar switched the table of a program",
                       {{"calendar", due.calendar},
                        {"partner", due.partner},
                        {"epoch", std::to_string(shared->calendar_role.epoch())}});
--- a/src/control_node/config_changes.cc
+++ b/src/control_node/config_changes.cc
@@ -6,29 +6,31 @@
 
 namespace {
 
-// Bounds count from the operator's call: what is acknowledged at 3 s is in force, or its proxy stopped, 1.5 s
-// later.
-constexpr microseconds choose_time = 2500 * millisecond;
-constexpr microseconds apply_time = 3 * second;
+// Both timeouts count from the operator's call. A change that is acknowledged at 3 s is in force at every
+// proxy 1.5 s later, or that proxy has stopped.
+constexpr microseconds choose_timeout = 2500 * millisecond;
+constexpr microseconds apply_timeout = 3 * second;
 constexpr microseconds announce_timeout = 500 * millisecond;
 
 task<> announce_to(rpc::endpoint endpoint, std::string address, rpc::config_committed_request request) {
   co_await endpoint.call(std::move(address), std::move(request), announce_timeout);
 }
 
-// What the last run of the mutator found.
+// The findings of the mutator's last run.
 struct edit_attempt {
   change_report report;
-  bool repeated = false;  // an earlier round of this very change went through, though its answer was lost
+  bool repeated = false;  // an earlier round of this same change went through, though its answer was lost
 };
 
-consensus::mutator mutator_of(edit wanted, std::string change_id, std::shared_ptr<edit_attempt> last) {
-  return [wanted, change_id, last](const std::optional<std::string>& text) -> std::optional<std::string> {
+consensus::mutator mutator_of(edit requested_edit, std::string change_id,
+                              std::shared_ptr<edit_attempt> last) {
+  return [requested_edit, change_id,
+          last](const std::optional<std::string>& text) -> std::optional<std::string> {
     auto current = configuration::record_or_empty(text);
     last->report.now = current;
     last->repeated = configuration::has_change(current, change_id);
     if (last->repeated) return std::nullopt;
-    auto result = wanted(current, change_id);
+    auto result = requested_edit(current, change_id);
     last->report.outcome = result.refusal;
     last->report.violations = result.violations;
     last->report.reason = result.reason;
@@ -41,13 +43,13 @@
 
 bool config_changes::is_widely_applied(const configuration::record& content) const {
   if (broken("edges")) return true;
-  auto has = [&](const std::string& edge) {
+  auto has_applied = [&](const std::string& edge) {
     auto found = applied_.find(edge);
     return found != applied_.end() && found->second >= content.revision;
   };
   auto majority = [&](const std::vector<std::string>& edges) {
     std::size_t count = 0;
-    for (auto& edge : edges) count += has(edge) ? 1 : 0;
+    for (auto& edge : edges) count += has_applied(edge) ? 1 : 0;
     return count * 2 > edges.size() || edges.empty();
   };
   return majority(content.edges) && majority(content.previous_edges);
@@ -85,14 +87,15 @@
       shared.runtime.spawn(announce_to(shared.endpoint, core.inner, request));
 }
 
-task<change_report> config_changes::change(edit wanted) {
+task<change_report> config_changes::change(edit requested_edit) {
   auto self = shared_from_this();
   auto shared = self->context_;
   std::string change_id = shared->new_change_id();
-  auto asked = shared->runtime.now();
+  auto started = shared->runtime.now();
   auto last = std::make_shared<edit_attempt>();
-  auto result = co_await shared->catalog.change(
-      configuration::config_key, mutator_of(std::move(wanted), change_id, last), asked + choose_time);
+  auto result = co_await shared->catalog.change(configuration::config_key,
+                                                mutator_of(std::move(requested_edit), change_id, last),
+                                                started + choose_timeout);
   change_report report = last->report;
   if (result.status == consensus::change_status::declined && !last->repeated) co_return report;
   if (result.status == consensus::change_status::unreachable ||
@@ -111,7 +114,7 @@
   shared->logger.info("configuration chosen",
                       {{"revision", report.now.revision}, {"version", report.now.version}});
   self->announce(report.now);
-  bool applied = co_await self->wait_until_applied(report.now, asked + apply_time);
+  bool applied = co_await self->wait_until_applied(report.now, started + apply_timeout);
   report.outcome = applied ? change_outcome::applied : change_outcome::chosen;
   shared->trace.add(report.now.revision, applied ? "acknowledged" : "not confirmed", "edges");
   co_return report;
