--- a/tests/control_test.cc
+++ b/tests/control_test.cc
@@ -1,10 +1,11 @@
-// The control side on a platform of the users': founding from seeds, the operator's calls, the engine list.
+// Control nodes with the platform's adapter: founding of the groups from seeds, operators' calls, the engine
+// list, replacement of storage nodes.
 #include "control_site_fixture.h"
 
 using namespace herontally;
 using namespace herontally::tests;
 
-TEST_CASE("three cores found one group from their seeds, and the storage group once") {
+TEST_CASE("three cores found one core group from their seeds and the storage group exactly once") {
   for (std::uint64_t seed : {1, 2, 3, 4}) {
     control_site site(seed);
     site.boot_all();
@@ -16,8 +17,9 @@
   }
 }
 
-TEST_CASE("a core that dies half-way through founding leaves one group to the others") {
-  // Every few hundred microseconds of the founding is a moment to die at.
+TEST_CASE("a core that dies during the founding leaves the others with exactly one group") {
+  // Each step kills the core at another moment of the founding: the delay after an installed view grows by
+  // 150 microseconds a step.
   for (int step = 0; step < 12; ++step) {
     control_site site(20 + static_cast<std::uint64_t>(step));
     site.boot_all();
@@ -26,12 +28,12 @@
     auto loss = step % 2 ? simulator::disk_loss::none : simulator::disk_loss::unsynced;
     site.world.kill("c1", loss, true);
     site.world.run_for(4 * second);
-    // A view that only the dead one has can't be told from none: the others wait for it to come back with
-    // what it had written. One that two have is finished without it.
-    bool standing = site.nodes_that("view installed") >= 2;
-    if (standing) CHECK(site.status("c2", "POST", "/-/config/replace", site.table(5), "0") == 200);
+    // A view that only the dead core has installed can't be told apart from no view: the others wait until it
+    // restarts with what it had written. A view that two cores have installed is completed without it.
+    bool has_quorum = site.nodes_that("view installed") >= 2;
+    if (has_quorum) CHECK(site.status("c2", "POST", "/-/config/replace", site.table(5), "0") == 200);
     site.boot_core("c1", step % 4 < 2);
-    if (!standing) CHECK(site.status("c2", "POST", "/-/config/replace", site.table(5), "0") == 200);
+    if (!has_quorum) CHECK(site.status("c2", "POST", "/-/config/replace", site.table(5), "0") == 200);
     site.world.run_for(6 * second);
     CHECK(site.status("c1", "GET", "/-/config/read") == 200);
     CHECK(site.ask("c1", "GET", "/-/config/read").body == site.table(5));
@@ -39,7 +41,7 @@
   }
 }
 
-TEST_CASE("a core that found nothing yet founds nothing without the first start's word") {
+TEST_CASE("cores with empty disks found no group if the settings don't allow founding") {
   control_site site(3);
   for (auto name : {"c1", "c2", "c3"}) site.boot_core(name, false);
   site.world.run_for(15 * second);
@@ -47,32 +49,32 @@
   CHECK(site.ask("c1", "POST", "/-/config/replace", site.table(5), "0").status == 503);
 }
 
-TEST_CASE("the first core never comes up at the first moment, and another founds") {
+TEST_CASE("no group is founded until all seeds are up, and then founding completes") {
   control_site site(9);
   for (auto name : {"c2", "c3", "s1", "s2", "s3"})
     name[0] == 'c' ? site.boot_core(name) : site.boot_store(name);
   site.world.run_for(5 * second);
-  // Without all seeds nobody can know them all: nothing is founded from a part of them.
+  // While a seed is down the cores don't know all founders, and found nothing with a part of them.
   CHECK(site.logged("view installed") == 0);
   site.boot_core("c1");
   CHECK(site.status("c3", "POST", "/-/config/replace", site.table(5), "0") == 200);
 }
 
-TEST_CASE("of two changes on top of one version one wins, and the winner's call may come again") {
+TEST_CASE("of two concurrent changes of one version one wins, and the winner's call may be repeated") {
   for (std::uint64_t seed : {5, 6, 7, 8, 9, 10}) {
     control_site site(seed);
     site.boot_all();
     REQUIRE(site.status("c1", "POST", "/-/config/replace", site.table(5), "0") == 200);
-    auto one = site.begin("c1", "POST", "/-/config/replace", site.table(7, "one"), "5");
-    auto two = site.begin("c2", "POST", "/-/config/replace", site.table(8, "two"), "5");
+    auto one = site.start_call("c1", "POST", "/-/config/replace", site.table(7, "one"), "5");
+    auto two = site.start_call("c2", "POST", "/-/config/replace", site.table(8, "two"), "5");
     REQUIRE(site.world.run_until([&] { return one->has_value() && two->has_value(); }, 5 * second));
-    auto first = site.status("c1", "POST", "/-/config/replace", site.table(7, "one"), "5");
-    auto second_end = site.status("c2", "POST", "/-/config/replace", site.table(8, "two"), "5");
-    CHECK(std::minmax(first, second_end) == std::minmax(200, 412));
-    auto expected = first == 200 ? site.table(7, "one") : site.table(8, "two");
+    auto first_status = site.status("c1", "POST", "/-/config/replace", site.table(7, "one"), "5");
+    auto second_status = site.status("c2", "POST", "/-/config/replace", site.table(8, "two"), "5");
+    CHECK(std::minmax(first_status, second_status) == std::minmax(200, 412));
+    auto expected = first_status == 200 ? site.table(7, "one") : site.table(8, "two");
     CHECK(site.ask("c3", "GET", "/-/config/read").body == expected);
-    // Also once another change came after it.
-    auto base = first == 200 ? "7" : "8";
+    // The winner's call may be repeated also after a later change.
+    auto base = first_status == 200 ? "7" : "8";
     CHECK(site.status("c3", "POST", "/-/config/replace", site.table(20), base) == 200);
     CHECK(site.status("c2", "POST", "/-/config/replace", expected, "5") == 200);
     CHECK(site.ask("c1", "GET", "/-/config/read").body == site.table(20));
@@ -96,7 +98,7 @@
   CHECK(got["routing"].empty());
 }
 
-TEST_CASE("what was acknowledged is read back after all cores lost power") {
+TEST_CASE("acknowledged changes survive a power loss of all cores") {
   control_site site(12);
   site.boot_all();
   REQUIRE(site.status("c1", "POST", "/-/config/replace", site.table(5), "0") == 200);
@@ -110,7 +112,7 @@
   CHECK(site.logged("storage group founded") == 1);
 }
 
-TEST_CASE("calls are answered within the callers' patience while one core is frozen or dead") {
+TEST_CASE("calls are answered in time while one core is frozen, and without a majority too") {
   control_site site(13);
   site.boot_all();
   REQUIRE(site.status("c1", "POST", "/-/config/replace", site.table(5), "0") == 200);
@@ -120,11 +122,11 @@
   CHECK(site.ask("c3", "POST", "/-/evacuation/z2/begin").status == 200);
   CHECK(site.ask("c3", "GET", "/-/config/read").body == site.table(6));
   site.world.freeze("c2");
-  // Without a majority the answer comes in time, and promises nothing.
+  // Without a majority the answer still comes within the callers' timeout, and acknowledges nothing.
   CHECK(site.ask("c3", "POST", "/-/config/replace", site.table(7), "6").status == 503);
 }
 
-TEST_CASE("evacuations may be asked for again, and every zone may be evacuated") {
+TEST_CASE("evacuation calls may be repeated, and every zone may be evacuated") {
   control_site site(14);
   site.boot_all();
   for (auto path : {"/-/evacuation/z1/begin", "/-/evacuation/z1/begin", "/-/evacuation/z2/begin",
@@ -133,7 +135,7 @@
   CHECK(site.status("c1", "GET", "/-/config/read") == 404);
 }
 
-TEST_CASE("a storage machine is emptied once another can take its copies") {
+TEST_CASE("a retiring storage machine is emptied once another one can take its copies") {
   control_site site(15);
   site.boot_all();
   REQUIRE(site.status("c1", "POST", "/-/config/replace", site.table(5), "0") == 200);
@@ -143,7 +145,7 @@
   CHECK(site.status("c1", "GET", "/-/retire/s9/read") == 404);
   site.boot_store("s4");
   site.world.run_for(3 * second);
-  // A machine that doesn't answer can't take the copies, however soon the move begins.
+  // The only spare is frozen and can't take the copies, however soon the move begins.
   site.world.freeze("s4");
   CHECK(site.status("c2", "POST", "/-/retire/s1/begin", "{\"over_s\":10}") == 200);
   CHECK(site.status("c3", "POST", "/-/retire/s1/begin", "{\"over_s\":10}") == 200);
@@ -157,17 +159,17 @@
       30 * second));
 }
 
-TEST_CASE("one core reads the platform's pages and the others learn of the engines") {
+TEST_CASE("exactly one core polls the platform's engine list, and a refused poll changes nothing") {
   control_site site(16);
   site.page_two = json::array({{{"id", "i-1"}, {"backend", "chat"}, {"endpoint", "10.9.9.9:80"}}});
   site.boot_all();
   REQUIRE(site.status("c1", "POST", "/-/config/replace", site.table(5), "0") == 200);
   site.world.run_for(3 * second);
-  site.asked.clear();
+  site.list_queries.clear();
   site.world.run_for(10 * second);
-  // Two pages each 500 ms, from one core alone.
-  CHECK(site.asked.size() >= 30);
-  CHECK(site.asked.size() <= 42);
+  // Two pages every 500 ms, from one core alone.
+  CHECK(site.list_queries.size() >= 30);
+  CHECK(site.list_queries.size() <= 42);
   CHECK(site.logged("engine list changed") == 1);
   auto page = site.ask("c1", "GET", "/-/config/read");
   CHECK(page.status == 200);
@@ -176,7 +178,7 @@
   CHECK(site.logged("engine list changed") == 1);
 }
 
-TEST_CASE("read again and again after a loss of all cores, the configuration is the newest or a 503") {
+TEST_CASE("after all nodes lost power every read of the configuration returns the newest one or fails") {
   control_site site(18);
   site.boot_all();
   REQUIRE(site.status("c1", "POST", "/-/config/replace", site.table(5), "0") == 200);
@@ -187,7 +189,7 @@
   for (auto name : {"c1", "c2", "c3"}) site.boot_core(name, false);
   for (auto name : {"s1", "s2", "s3"}) site.boot_store(name);
   int answered = 0;
-  for (int turn = 0; turn < 40; ++turn)
+  for (int round = 0; round < 40; ++round)
     for (auto name : {"c1", "c2", "c3"}) {
       auto page = site.ask(name, "GET", "/-/config/read");
       if (page.status != 200) {
@@ -202,7 +204,7 @@
   CHECK(answered > 100);
 }
 
-TEST_CASE("after a loss of all cores the engine list is asked for as soon as one of them owns the role") {
+TEST_CASE("after a power loss of all cores the engine list is polled as soon as one of them owns the role") {
   control_site site(17);
   site.page_two = json::array({{{"id", "i-1"}, {"backend", "chat"}, {"endpoint", "10.9.9.9:80"}}});
   site.boot_all();
@@ -210,17 +212,17 @@
   site.world.run_for(3 * second);
   for (auto name : {"c1", "c2", "c3"}) site.world.kill(name, simulator::disk_loss::unsynced);
   site.world.run_for(500 * millisecond);
-  site.lines.clear();
-  site.asked.clear();
+  site.logged_events.clear();
+  site.list_queries.clear();
   for (auto name : {"c1", "c2", "c3"}) site.boot_core(name, false);
   REQUIRE(site.world.run_until([&] { return site.logged("singleton role claimed") > 0; }, 5 * second));
   REQUIRE(site.world.run_until([&] { return site.logged("engine list changed") > 0; }, 60 * millisecond));
-  // Two pages for each core that took the role on the way, and no more.
+  // At most two pages for each core that owned the role in between.
   site.world.run_for(400 * millisecond);
-  CHECK(site.asked.size() <= 6);
+  CHECK(site.list_queries.size() <= 6);
 }
 
-TEST_CASE("a storage machine that is gone for good is replaced before its successor is counted on") {
+TEST_CASE("a lost storage machine is replaced by a new one within 4.2 s of the new one's start") {
   control_site site(17);
   site.boot_all();
   REQUIRE(site.status("c1", "POST", "/-/config/replace", site.table(5), "0") == 200);
@@ -228,21 +230,21 @@
   site.world.kill("s3", simulator::disk_loss::all);
   site.world.run_for(second);
   site.boot_store("s4");
-  // The users count on the newcomer 4.2 s after it came.
+  // The users rely on the new machine 4.2 s after its start.
   site.world.run_for(4200 * millisecond);
   CHECK(site.logged("group of voters moved") == 1);
-  // It holds the records, too, before it counts.
+  // By then it must hold the records, too.
   CHECK(site.logged("voter caught up") == 1);
 }
 
-TEST_CASE("an evacuation that was held up behind a cut is not begun again once its end is acknowledged") {
+TEST_CASE("a delayed evacuation call to a frozen core does not undo the acknowledged end of the evacuation") {
   control_site site(31);
   site.boot_all();
   REQUIRE(site.status("c1", "POST", "/-/config/replace", site.table(5), "0") == 200);
-  // The order waits at a core that stands still, on a connection whose close never arrives; the operator has
-  // turned to another core meanwhile.
+  // The call waits at a frozen core, on a connection whose close never arrives; meanwhile the operator calls
+  // another core.
   site.world.freeze("c3");
-  auto late = site.begin("c3", "POST", "/-/evacuation/z1/begin", "", "", 20 * second);
+  auto delayed = site.start_call("c3", "POST", "/-/evacuation/z1/begin", "", "", 20 * second);
   site.world.run_for(1500 * millisecond);
   REQUIRE(site.status("c1", "POST", "/-/evacuation/z1/begin") == 200);
   REQUIRE(site.status("c1", "POST", "/-/evacuation/z1/finish") == 200);
