--- a/src/control_node/node.h
+++ b/src/control_node/node.h
@@ -1,6 +1,6 @@
 // The control node (a "core"): a voter of the core group, whose registers hold the configuration; the
-// operators' HTTP API; and candidate for the singleton roles (engine list, voter groups, calendars). This
-// file only wires the parts together: the rules of each are in the part's own header.
+// operators' HTTP API; and candidate for the singleton roles (engine list, voter groups, calendars). The
+// node only wires its parts together: the rules of each are in the part's own header.
 #pragma once
 #include "logging/logging.h"
 #include "platform_protocol/adapter.h"
--- a/tests/control_test.cc
+++ b/tests/control_test.cc
@@ -60,7 +60,7 @@
   CHECK(site.status("c3", "POST", "/-/config/replace", site.table(5), "0") == 200);
 }
 
-TEST_CASE("of two concurrent changes of one version one wins, and the winner's call may be repeated") {
+TEST_CASE("of two concurrent changes based on one version one wins, and the winner's call may be repeated") {
   for (std::uint64_t seed : {5, 6, 7, 8, 9, 10}) {
     control_site site(seed);
     site.boot_all();
