--- a/src/control_node/group_founder.h
+++ b/src/control_node/group_founder.h
@@ -1,5 +1,6 @@
-// Internal to the control node: the first start. The cores found their group from the seeds, then one of them
-// founds the storage group.
+// Internal to the control node: bootstraps both register groups at the first start. The cores make the core
+// group's first view from the seeds; the owner of the voter groups role then makes that of the storage group.
+// Later views are made by voter_group_manager.h.
 #pragma once
 #include "control_node/voter_group_manager.h"
 #include "replication/voter.h"
@@ -10,27 +11,27 @@
  public:
   group_founder(std::shared_ptr<context> shared, replication::voter voter)
       : context_(std::move(shared)), voter_(std::move(voter)) {}
-  // Founds the core group, where the settings say that this is the first start. Ends when this core has a
-  // view.
+  // Bootstraps the core group if the settings say that this is the first start and this node is a seed; ends
+  // at once otherwise. Ends when this core has a view.
   task<> found_core_group();
-  // Finishes what a founder may have left undone, on the node that owns the role. Ends when both groups
-  // stand.
+  // Completes what an interrupted bootstrap may have left undone, while this node owns the voter groups role.
+  // Ends when both groups have their first view.
   task<> finish_founding();
 
  private:
   using voter_info = consensus::voter_info;
-  std::optional<std::vector<voter_info>> core_founders() const;
-  task<> try_found_core(std::vector<voter_info> founders);
+  std::optional<std::vector<voter_info>> initial_core_voters() const;
+  task<> try_bootstrap_core_group(std::vector<voter_info> founders);
   task<bool> write_core_view();
-  task<std::vector<voter_info>> storage_founders();
-  task<std::vector<voter_info>> identify_empty(std::vector<voter_info> machines);
-  task<std::optional<consensus::view>> first_storage_view();
-  task<bool> found_storage_group();
+  task<std::vector<voter_info>> initial_storage_voters();
+  task<std::vector<voter_info>> identify_empty_machines(std::vector<voter_info> machines);
+  task<std::optional<consensus::view>> write_first_storage_view();
+  task<bool> bootstrap_storage_group();
 
   std::shared_ptr<context> context_;
-  replication::voter voter_;      // of this node
-  std::size_t storage_seen_ = 0;  // live storage machines, and since when their number is the same
-  microseconds storage_unchanged_since_ = 0;
+  replication::voter voter_;                     // of this node
+  std::size_t storage_count_ = 0;                // storage machines that were alive at the last check
+  microseconds storage_count_stable_since_ = 0;  // since when that number is the same
 };
 
 }  // namespace herontally::control_node
--- a/src/control_node/repair_bound.h
+++ b/src/control_node/repair_bound.h
@@ -1,8 +1,9 @@
-// How long a group of voters may stay short of a voter: the sum of the design's own timers.
+// The longest time that a register group may take to be whole again after a loss: the sum of the timers
+// involved. The simulator's oracle checks the groups against it.
 //
-// The bound holds from the moment at which the last machine went or came, while a quorum of the cores and of
-// the group is up and in touch and a machine is there that may take the voter's place. It allows nothing for
-// steps that are lost on the way: these are the ones that a shrinking quorum or a cut brings about.
+// The bound holds from the moment at which the last machine failed or came up, while a quorum of the cores
+// and of the group is up and connected and there is a machine that may replace the voter. It allows nothing
+// for steps that fail on the way: only a shrinking quorum or a network partition makes steps fail.
 #pragma once
 #include "control_node/voter_group_manager.h"
 #include "membership/member_list.h"
@@ -10,27 +11,28 @@
 
 namespace herontally::control_node {
 
-// Periods until some node's turn comes to probe a given one, and until the others have learned of it.
-constexpr int probe_periods_until_noticed = 5;
-constexpr int probe_periods_until_known = 2;
+// Probe periods until some node probes a given one, and until all nodes have learned the result.
+constexpr int max_periods_until_probed = 5;
+constexpr int max_dissemination_periods = 2;
 
-// Until every node holds a silent machine for dead.
+// The longest time until every node has declared a silent machine dead.
 constexpr microseconds detection_bound() {
   membership::probe_options probes;
-  return probe_periods_until_noticed * probes.period + probes.direct_timeout + probes.indirect_timeout +
-         probes.suspicion_timeout + probe_periods_until_known * probes.period;
+  return max_periods_until_probed * probes.period + probes.direct_timeout + probes.indirect_timeout +
+         probes.suspicion_timeout + max_dissemination_periods * probes.period;
 }
 
-// Until an owner of a singleton role that was superseded knows of it.
+// The longest time until the owner of a singleton role notices that it was superseded.
 constexpr microseconds supersession_bound() {
   return singleton::confirmation_period + singleton::confirmation_timeout + 2 * singleton::review_period;
 }
 
-// Until a group is whole again: the loss is noticed, a core owns the role under the newest epoch, two reviews
-// lie around the time that a silent voter is waited for, and the move takes one step.
+// The longest time until a group is whole again: the loss is detected, a core owns the role under the newest
+// epoch, one review comes before the replacement delay of a silent voter and one after it, and the move takes
+// one step.
 constexpr microseconds repair_bound() {
   constexpr microseconds review = group_review_period + voter_identify_timeout;
-  return detection_bound() + supersession_bound() + review + replacement_delay + review + move_step;
+  return detection_bound() + supersession_bound() + review + replacement_delay + review + move_step_timeout;
 }
 
 }  // namespace herontally::control_node
--- a/src/control_node/shortfall_report.cc
+++ b/src/control_node/shortfall_report.cc
@@ -6,13 +6,13 @@
   logger_.gauge(std::string(name) + "{group=\"" + group_ + "\"}", static_cast<double>(value));
 }
 
-void shortfall_report::take(const std::vector<consensus::voter_info>& voters) {
+void shortfall_report::update(const std::vector<consensus::voter_info>& voters) {
   auto shortfall = shortfall_of(voters, budget_);
   set_gauge("herontally_voters_needed", budget_.voters());
   set_gauge("herontally_voters_lacking", shortfall.voters);
   set_gauge("herontally_voters_crowded", shortfall.crowded);
-  if (reported_ == shortfall) return;
-  reported_ = shortfall;
+  if (last_reported_ == shortfall) return;
+  last_reported_ = shortfall;
   if (shortfall == voter_shortfall{}) {
     logger_.info("a group of voters can bear all losses that it should", {{"group", group_}});
     return;
--- a/src/control_node/voter_group_manager.cc
+++ b/src/control_node/voter_group_manager.cc
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr microseconds agreement_timeout = second;
-constexpr int planning_rounds = 4;
+constexpr int max_planning_rounds = 4;
 constexpr microseconds no_timeout = -1;
 
 task<std::optional<rpc::identify_reply>> identify(rpc::endpoint endpoint, std::string address,
@@ -22,15 +22,17 @@
   co_return *reply;
 }
 
-// Growth and a better spread can wait for a moment in which every voter answers; replacing a lost or a
-// retiring one can't.
-bool may_wait(const std::vector<voter_observation>& observed) {
-  return std::all_of(observed.begin(), observed.end(),
-                     [](auto& seen) { return seen.condition == voter_condition::present && !seen.retiring; });
+// Without a lost or a retiring voter a plan can only grow the group or spread it better, which can wait until
+// every voter answers. A replacement can't wait.
+bool needs_no_replacement(const std::vector<voter_observation>& observed) {
+  return std::all_of(observed.begin(), observed.end(), [](auto& observation) {
+    return observation.condition == voter_condition::present && !observation.retiring;
+  });
 }
 
 bool all_answered(const std::vector<voter_observation>& observed) {
-  return std::all_of(observed.begin(), observed.end(), [](auto& seen) { return seen.answered; });
+  return std::all_of(observed.begin(), observed.end(),
+                     [](auto& observation) { return observation.answered; });
 }
 
 std::vector<std::string> nodes_of(const std::vector<voter_info>& voters) {
@@ -42,34 +44,35 @@
 
 }  // namespace
 
-// Lost are those that the membership has given up, over several nodes' probes, and that don't answer this
-// node; and those whose machine answers under another identity: its disk was lost.
+// A voter is lost if it is unreachable for longer than the replacement delay: the membership, by the probes
+// of several nodes, holds its node for dead or gone, and it doesn't answer this node either. It is also lost
+// if its machine answers under another identity, since then its disk was lost.
 task<voter_observation> voter_group_manager::observe(voter_info voter, bool retiring) {
   auto self = shared_from_this();
   auto shared = self->context_;
-  voter_observation seen{voter, voter_condition::present, retiring};
+  voter_observation observation{voter, voter_condition::present, retiring};
   auto answer = co_await identify(shared->endpoint, voter.address, self->name_);
-  auto& since = self->silent_since_[voter.id];
+  auto& since = self->unreachable_since_[voter.id];
   if (answer) {
     since = 0;
-    seen.answered = true;
-    if (answer->voter != voter.id) seen.condition = voter_condition::lost;
-    co_return seen;
+    observation.answered = true;
+    if (answer->voter != voter.id) observation.condition = voter_condition::lost;
+    co_return observation;
   }
   auto member = shared->members.find(voter.node);
   bool live = member && member->is_live();
   if (live) since = 0;
   if (!live && since == 0) since = shared->runtime.now();
   bool lost = since > 0 && shared->runtime.now() - since > replacement_delay;
-  if (lost) seen.condition = voter_condition::lost;
-  co_return seen;
+  if (lost) observation.condition = voter_condition::lost;
+  co_return observation;
 }
 
-task<> voter_group_manager::report_observation(voter_info voter, bool retiring,
-                                               runtime::mailbox<voter_observation> results) {
+task<> voter_group_manager::push_observation(voter_info voter, bool retiring,
+                                             runtime::mailbox<voter_observation> results) {
   auto self = shared_from_this();
-  auto seen = co_await self->observe(std::move(voter), retiring);
-  results.push(std::move(seen));
+  auto observation = co_await self->observe(std::move(voter), retiring);
+  results.push(std::move(observation));
 }
 
 std::set<std::string> voter_group_manager::retiring_nodes() const {
@@ -78,98 +81,103 @@
   return configuration::shared_names(config->document, configuration::retiring_storage);
 }
 
-task<std::vector<voter_observation>> voter_group_manager::observe_voters(view agreed) {
+task<std::vector<voter_observation>> voter_group_manager::observe_voters(view agreed_view) {
   auto self = shared_from_this();
   auto runtime = self->context_->runtime;
   auto retiring = self->retiring_nodes();
   runtime::mailbox<voter_observation> results(runtime);
-  auto voters = agreed.all_voters();
+  auto voters = agreed_view.all_voters();
   for (auto& voter : voters)
-    runtime.spawn(self->report_observation(voter, retiring.contains(voter.node), results));
+    runtime.spawn(self->push_observation(voter, retiring.contains(voter.node), results));
   std::vector<voter_observation> observed;
   while (observed.size() < voters.size()) {
-    auto seen = co_await results.pop(no_timeout);
-    if (seen) observed.push_back(std::move(*seen));
+    auto observation = co_await results.pop(no_timeout);
+    if (observation) observed.push_back(std::move(*observation));
   }
-  // In the order of the view, so that a plan doesn't depend on who answered first.
+  // In the order of the view, so that the plan doesn't depend on the order of the answers.
   std::vector<voter_observation> ordered;
   for (auto& voter : voters)
-    for (auto& seen : observed)
-      if (seen.voter.id == voter.id) ordered.push_back(seen);
+    for (auto& observation : observed)
+      if (observation.voter.id == voter.id) ordered.push_back(observation);
   co_return ordered;
 }
 
-// Machines of the role that hold no voter of the group; their identities are still to be asked for.
-std::vector<voter_info> voter_group_manager::possible_spares(
+// Machines of the role that are alive, aren't retiring and run no present voter of the group. Their
+// identities aren't known yet.
+std::vector<voter_info> voter_group_manager::spare_candidates(
     const std::vector<voter_observation>& observed) const {
-  auto unfit = retiring_nodes();
-  for (auto& seen : observed)
-    if (seen.condition == voter_condition::present) unfit.insert(seen.voter.node);
+  auto excluded_nodes = retiring_nodes();
+  for (auto& observation : observed)
+    if (observation.condition == voter_condition::present) excluded_nodes.insert(observation.voter.node);
   std::vector<voter_info> spares;
   for (auto& member : context_->members.live(role_)) {
-    if (member.status != rpc::member_status::alive || unfit.contains(member.name)) continue;
+    if (member.status != rpc::member_status::alive || excluded_nodes.contains(member.name)) continue;
     spares.push_back({unidentified_prefix + member.name, member.inner, member.name, member.zone});
   }
   return spares;
 }
 
-// Fills in the identities of the spares that the plan chose. A machine that can't join (it is out of reach,
-// or holds records of an earlier view) is taken off the list, and true returned: plan again.
-task<bool> voter_group_manager::identify_chosen(std::shared_ptr<draft> plan, view agreed) {
+// Fills in the identities of the spares that the plan chose. A machine that can't join (it is unreachable, or
+// holds records of an earlier view) is removed from the spares. True if there was one: the caller must plan
+// again.
+task<bool> voter_group_manager::identify_spares(std::shared_ptr<pending_plan> plan, view agreed_view) {
   auto self = shared_from_this();
-  bool any_unfit = false;
-  for (auto& voter : plan->wanted) {
+  bool any_rejected = false;
+  for (auto& voter : plan->target) {
     if (!voter.id.starts_with(unidentified_prefix)) continue;
     std::string unidentified = voter.id;
-    auto answer = co_await identify(self->context_->endpoint, voter.address, agreed.group);
-    bool fit = answer && answer->empty && answer->view.empty();
-    if (fit) {
+    auto answer = co_await identify(self->context_->endpoint, voter.address, agreed_view.group);
+    bool can_join = answer && answer->empty && answer->view.empty();
+    if (can_join) {
       voter.id = answer->voter;
       continue;
     }
-    any_unfit = true;
+    any_rejected = true;
     std::erase_if(plan->spares, [&](auto& spare) { return spare.id == unidentified; });
-    bool outdated = answer && !answer->view.empty() && !agreed.joint() && !agreed.includes(answer->voter);
-    if (!outdated) continue;
+    bool was_removed =
+        answer && !answer->view.empty() && !agreed_view.joint() && !agreed_view.includes(answer->voter);
+    if (!was_removed) continue;
     voter.id = answer->voter;
-    co_await self->dismiss(voter, agreed);
+    co_await self->wipe_removed_voter(voter, agreed_view);
   }
-  co_return any_unfit;
+  co_return any_rejected;
 }
 
-// A machine that was left out of a view while it was away gets that view installed: it wipes itself and is a
-// spare. Until a quorum has the view installed, the joint view before it may still need what the machine
-// holds.
-task<> voter_group_manager::dismiss(voter_info voter, view agreed) {
+// Installs the view at a voter that the view removed while it was down; the voter then wipes itself and
+// becomes a spare. Until a quorum has the view installed, the joint view before it may still need the voter's
+// records.
+task<> voter_group_manager::wipe_removed_voter(voter_info voter, view agreed_view) {
   auto self = shared_from_this();
   auto deadline = self->context_->runtime.now() + agreement_timeout;
-  bool installed = co_await reconfiguration::install_chosen(self->group_, agreed, deadline);
-  if (installed) co_await reconfiguration::install_at(self->context_->endpoint, voter, agreed);
+  bool installed = co_await reconfiguration::install_chosen(self->group_, agreed_view, deadline);
+  if (installed) co_await reconfiguration::install_at(self->context_->endpoint, voter, agreed_view);
 }
 
-// The voters that the group should have now, all with their identities; nothing if that can't be said.
-task<std::optional<std::vector<voter_info>>> voter_group_manager::plan(view agreed) {
+// The voters that the group should have now, all with their identities; nothing if no round of planning came
+// to a plan whose spares can all join.
+task<std::optional<std::vector<voter_info>>> voter_group_manager::plan(view agreed_view) {
   auto self = shared_from_this();
-  auto observed = co_await self->observe_voters(agreed);
-  if (!agreed.joint() && may_wait(observed) && !all_answered(observed)) co_return agreed.voters;
-  auto plan = std::make_shared<draft>();
-  plan->spares = self->possible_spares(observed);
-  for (int round = 0; round < planning_rounds; ++round) {
-    plan->wanted = plan_voters(agreed, observed, plan->spares, budget_of(self->context_->place));
-    bool again = co_await self->identify_chosen(plan, agreed);
+  auto observed = co_await self->observe_voters(agreed_view);
+  if (!agreed_view.joint() && needs_no_replacement(observed) && !all_answered(observed))
+    co_return agreed_view.voters;
+  auto plan = std::make_shared<pending_plan>();
+  plan->spares = self->spare_candidates(observed);
+  for (int round = 0; round < max_planning_rounds; ++round) {
+    plan->target = plan_voters(agreed_view, observed, plan->spares, loss_budget_from(self->context_->place));
+    bool again = co_await self->identify_spares(plan, agreed_view);
     if (again) continue;
-    if (consensus::same_voters(plan->wanted, agreed.voters)) self->report_lost(observed);
-    co_return plan->wanted;
+    if (consensus::same_voters(plan->target, agreed_view.voters)) self->report_lost(observed);
+    co_return plan->target;
   }
   co_return std::nullopt;
 }
 
-// Lost voters that are still in the view when the group is reviewed again have found no spare. One warning
-// for each set of them.
+// Called when the plan keeps the view's voters: no spare can replace those that are lost. Warns once for
+// each set of them.
 void voter_group_manager::report_lost(const std::vector<voter_observation>& observed) {
   std::vector<std::string> lost;
-  for (auto& seen : observed)
-    if (seen.condition == voter_condition::lost) lost.push_back(seen.voter.node);
+  for (auto& observation : observed)
+    if (observation.condition == voter_condition::lost) lost.push_back(observation.voter.node);
   auto& logger = context_->logger;
   logger.gauge("herontally_voters_lost{group=\"" + name_ + "\"}", static_cast<double>(lost.size()));
   if (lost == reported_lost_) return;
@@ -178,62 +186,64 @@
     logger.warn("voters are lost and no spare has taken their place", {{"group", name_}, {"nodes", lost}});
 }
 
-task<bool> voter_group_manager::begin_move(view agreed, std::vector<voter_info> wanted) {
+task<bool> voter_group_manager::begin_move(view agreed_view, std::vector<voter_info> target) {
   auto self = shared_from_this();
   auto shared = self->context_;
   auto& role = shared->voter_groups_role;
-  // Another owner has acted since our claim, and every move of ours would be refused until we claim anew.
-  if (agreed.epoch > role.epoch()) {
-    self->report_refusal(agreed, reconfiguration::move_error::superseded);
-    role.step_down(agreed.epoch);
+  // Another owner has acted since this node claimed the role; every move of this node would be refused until
+  // it claims the role anew.
+  if (agreed_view.epoch > role.epoch()) {
+    self->report_refused_move(agreed_view, reconfiguration::move_error::superseded);
+    role.step_down(agreed_view.epoch);
     co_return false;
   }
   shared->logger.info("moving a group of voters", {{"group", self->name_},
-                                                   {"view", agreed.number},
-                                                   {"from", nodes_of(agreed.voters)},
-                                                   {"to", nodes_of(wanted)}});
-  auto begun = co_await reconfiguration::begin_move(self->group_, shared->catalog, std::move(wanted),
-                                                    role.epoch(), shared->runtime.now() + move_step);
-  auto* why = std::get_if<reconfiguration::move_error>(&begun);
-  if (why) self->report_refusal(agreed, *why);
-  if (why && *why == reconfiguration::move_error::superseded) role.step_down();
-  co_return why == nullptr;
-}
-
-void voter_group_manager::report_refusal(const view& agreed, reconfiguration::move_error why) const {
+                                                   {"view", agreed_view.number},
+                                                   {"from", nodes_of(agreed_view.voters)},
+                                                   {"to", nodes_of(target)}});
+  auto result = co_await reconfiguration::begin_move(self->group_, shared->catalog, std::move(target),
+                                                     role.epoch(), shared->runtime.now() + move_step_timeout);
+  auto* error = std::get_if<reconfiguration::move_error>(&result);
+  if (error) self->report_refused_move(agreed_view, *error);
+  if (error && *error == reconfiguration::move_error::superseded) role.step_down();
+  co_return error == nullptr;
+}
+
+void voter_group_manager::report_refused_move(const view& agreed_view,
+                                              reconfiguration::move_error error) const {
   auto& logger = context_->logger;
   logger.count("herontally_moves_refused_total{group=\"" + name_ + "\"}");
   logger.warn("a move of a group of voters was refused", {{"group", name_},
-                                                          {"why", reconfiguration::describe(why)},
-                                                          {"view", agreed.number},
-                                                          {"view_epoch", agreed.epoch},
+                                                          {"why", reconfiguration::describe(error)},
+                                                          {"view", agreed_view.number},
+                                                          {"view_epoch", agreed_view.epoch},
                                                           {"epoch", context_->voter_groups_role.epoch()}});
 }
 
 task<> voter_group_manager::review() {
   auto self = shared_from_this();
   auto shared = self->context_;
-  auto agreed = co_await reconfiguration::agreed_view(shared->catalog, self->name_,
-                                                      shared->runtime.now() + agreement_timeout);
-  if (!agreed || agreed->number == 0) co_return;
-  if (self->group_.current_view().number == 0) self->group_.learn(*agreed);
-  // Before any move, so that a group that was founded too small is reported at once.
-  self->shortfall_.take(agreed->voters);
-  auto wanted = co_await self->plan(*agreed);
-  bool other = wanted && !wanted->empty() && !consensus::same_voters(*wanted, agreed->voters);
-  bool settled = !agreed->joint() && agreed->number <= self->group_.current_view().number;
-  if (!other && settled) co_return;
-  if (other) {
-    bool begun = co_await self->begin_move(*agreed, *wanted);
+  auto agreed_view = co_await reconfiguration::agreed_view(shared->catalog, self->name_,
+                                                           shared->runtime.now() + agreement_timeout);
+  if (!agreed_view || agreed_view->number == 0) co_return;
+  if (self->group_.current_view().number == 0) self->group_.learn(*agreed_view);
+  // Before any move, so that a group that was bootstrapped too small is reported at once.
+  self->shortfall_.update(agreed_view->voters);
+  auto target = co_await self->plan(*agreed_view);
+  bool voters_change = target && !target->empty() && !consensus::same_voters(*target, agreed_view->voters);
+  bool move_finished = !agreed_view->joint() && agreed_view->number <= self->group_.current_view().number;
+  if (!voters_change && move_finished) co_return;
+  if (voters_change) {
+    bool begun = co_await self->begin_move(*agreed_view, *target);
     if (!begun) co_return;
   }
-  bool done =
-      co_await reconfiguration::finish_move(self->group_, shared->catalog, shared->runtime.now() + move_step);
+  bool done = co_await reconfiguration::finish_move(self->group_, shared->catalog,
+                                                    shared->runtime.now() + move_step_timeout);
   shared->logger.info("group of voters moved",
                       {{"group", self->name_}, {"view", self->group_.current_view().number}, {"done", done}});
 }
 
-// Two owners at once would only collide in the register, which settles it.
+// If two nodes act as owner at once, their moves conflict in the view's register, which accepts only one.
 task<> voter_group_manager::run() {
   auto self = shared_from_this();
   while (true) {
--- a/tests/control_takeover_test.cc
+++ b/tests/control_takeover_test.cc
@@ -1,4 +1,6 @@
-// A core that owned the voters' role, was away while another one acted in its place, and is the first again.
+// A core owns the voter groups role, freezes, and becomes the owner again after another core has acted as
+// owner meanwhile. Guards against losses that aren't repaired because the group refuses the epoch of the old
+// claim.
 #include "control_site_fixture.h"
 
 using namespace herontally;
@@ -6,12 +8,13 @@
 
 namespace {
 
-// Until the membership has given a silent node up, another core owns the role, and what it does has ended.
+// Until the membership has declared the silent node dead, another core owns the role and has finished its
+// moves.
 constexpr auto takeover_time = 8 * second;
-// A lost voter is replaced within this time while an owner of the role is there.
+// A lost voter is replaced within this time while the role has an owner.
 constexpr auto replacement_time = 6 * second;
 
-// The owner comes back as it was, with its memory.
+// Freezes the owner, so that it comes back with its memory, and runs `work` meanwhile.
 void freeze_owner_during(control_site& site, const std::function<void()>& work) {
   site.world.freeze("c1");
   work();
@@ -41,14 +44,14 @@
   }
 }
 
-TEST_CASE("two core losses one after the other are borne after another core has acted as owner") {
+TEST_CASE("two core losses one after the other are tolerated after another core has acted as owner") {
   for (std::uint64_t seed : {61, 62, 63}) {
     control_site site(seed);
     site.boot_all();
     site.boot_core("c4", false);
     REQUIRE(site.status("c1", "POST", "/-/config/replace", site.table(5), "0") == 200);
     site.world.run_for(6 * second);
-    // Its place among the voters is given to c4.
+    // c4 replaces the frozen owner among the voters.
     freeze_owner_during(site, [] {});
     REQUIRE(site.nodes_that("group of voters moved") > 0);
     site.world.kill("c3", simulator::disk_loss::all, true);
--- a/tests/deploy_voters_test.cc
+++ b/tests/deploy_voters_test.cc
@@ -1,4 +1,5 @@
-// The machines that the deploy file starts must carry as many voters as a deployment's loss budget asks for.
+// The machines on which the deploy file starts cores and stores must suffice for the voters that a
+// deployment's loss budget takes.
 #include <catch2/catch.hpp>
 #include <random>
 
@@ -12,7 +13,7 @@
 
 struct deployment {
   std::string name;
-  std::vector<int> cores, stores;  // by zone
+  std::vector<int> cores, stores;  // machines by zone
   loss_budget budget;
 };
 
@@ -39,41 +40,43 @@
   return machines;
 }
 
-// What a group made of these machines lacks.
+// The shortfall of a group made of these machines.
 voter_shortfall shortfall_with(const std::vector<int>& by_zone, const loss_budget& budget) {
   return shortfall_of(plan_voters({}, {}, machines_of(by_zone), budget), budget);
 }
 
-std::vector<int> started(const std::string& role, const std::vector<int>& machines) {
+std::vector<int> started_machines(const std::string& role, const std::vector<int>& machines) {
   return deploy_file::machines_in_use(machines, deploy_file::share_of(role));
 }
 
 }  // namespace
 
-// Guards against review case 1 (CONFIG): three voters where a budget of two machines asks for five.
-TEST_CASE("the deploy file starts the voters that each known deployment's budget asks for") {
-  for (auto& each : known_deployments()) {
-    INFO(each.name);
-    CHECK(shortfall_with(started("core", each.cores), each.budget) == voter_shortfall{});
-    CHECK(shortfall_with(started("store", each.stores), each.budget) == voter_shortfall{});
+// Guards against a share in the deploy file that starts three voters where tolerating the loss of two
+// machines takes five.
+TEST_CASE("the deploy file starts the voters that each known deployment's loss budget takes") {
+  for (auto& deployment : known_deployments()) {
+    INFO(deployment.name);
+    CHECK(shortfall_with(started_machines("core", deployment.cores), deployment.budget) == voter_shortfall{});
+    CHECK(shortfall_with(started_machines("store", deployment.stores), deployment.budget) ==
+          voter_shortfall{});
   }
 }
 
-// The same on deployments that nobody has seen yet.
-TEST_CASE("where a deployment's machines can carry its budget, the deploy file starts enough of them") {
-  constexpr int shapes = 2000, most_zones = 6, most_machines = 5, most_losses = 3;
+// The same for randomly drawn deployments.
+TEST_CASE("where a deployment's machines suffice for its loss budget, the deploy file starts enough") {
+  constexpr int shapes = 2000, max_zones = 6, max_machines_per_zone = 5, max_losses = 3;
   std::mt19937 random(43);
-  auto draw = [&random](int most) { return 1 + static_cast<int>(random() % static_cast<unsigned>(most)); };
-  int carried = 0;
+  auto draw = [&random](int max) { return 1 + static_cast<int>(random() % static_cast<unsigned>(max)); };
+  int feasible = 0;
   for (int shape = 0; shape < shapes; ++shape) {
-    std::vector<int> machines(static_cast<std::size_t>(draw(most_zones)));
-    for (auto& in_zone : machines) in_zone = draw(most_machines);
-    loss_budget budget{draw(most_losses), 1};
+    std::vector<int> machines(static_cast<std::size_t>(draw(max_zones)));
+    for (auto& in_zone : machines) in_zone = draw(max_machines_per_zone);
+    loss_budget budget{draw(max_losses), 1};
     if (shortfall_with(machines, budget) != voter_shortfall{}) continue;
-    ++carried;
+    ++feasible;
     INFO("shape " << shape << ", losses " << budget.machines);
-    REQUIRE(shortfall_with(started("core", machines), budget) == voter_shortfall{});
-    REQUIRE(shortfall_with(started("store", machines), budget) == voter_shortfall{});
+    REQUIRE(shortfall_with(started_machines("core", machines), budget) == voter_shortfall{});
+    REQUIRE(shortfall_with(started_machines("store", machines), budget) == voter_shortfall{});
   }
-  CHECK(carried > shapes / 4);
+  CHECK(feasible > shapes / 4);
 }
