--- a/src/control_node/engine_list_poller.cc
+++ b/src/control_node/engine_list_poller.cc
@@ -9,14 +9,14 @@
 
 constexpr microseconds platform_timeout = 800 * millisecond;
 constexpr microseconds own_poll_period = 250 * millisecond;
-// Published again this often, for a core that was away when the list was new.
+// An unchanged list is published again this often, for cores that were unreachable when it was new.
 constexpr microseconds republish_period = 400 * millisecond;
 constexpr microseconds adapter_check_period = 50 * millisecond;
-// Until there is a list, the role is looked for more often than that.
+// Used instead of adapter_check_period until this core has a list.
 constexpr microseconds first_list_check_period = 10 * millisecond;
 constexpr microseconds min_adapter_poll_period = 500 * millisecond;
-// Without a list no node can serve: the platform is asked at once, and soon again while it is silent.
-constexpr microseconds first_list_retry = 250 * millisecond;
+// Without a list no node can serve, so the platform is polled again this soon while it doesn't answer.
+constexpr microseconds first_list_retry_period = 250 * millisecond;
 constexpr double min_list_rate = 0.1;
 
 }  // namespace
@@ -25,7 +25,7 @@
   return context_->platform_adapter ? run_with_adapter() : run_own_protocol();
 }
 
-void engine_list_poller::enter_epoch() {
+void engine_list_poller::update_epoch() {
   auto epoch = context_->engine_list_role.epoch();
   if (published_epoch_ == epoch) return;
   published_epoch_ = epoch;
@@ -39,17 +39,17 @@
 
 void engine_list_poller::handle_own_list(const json& engines) {
   std::string text = engines.dump();
-  enter_epoch();
-  bool again = context_->runtime.now() - published_ > republish_period;
+  update_epoch();
+  bool republish_due = context_->runtime.now() - last_published_at_ > republish_period;
   bool changed = text != publisher_->last_published();
-  if (!changed && !again) return;
+  if (!changed && !republish_due) return;
   for (auto& engine : engines) {
     bool draining = serialization::text_member(engine, "state", "running") != "running";
     if (draining) report_draining(serialization::text_member(engine, "name"), engine.dump());
   }
   if (changed)
     context_->logger.info("engine list changed", {{"engines", engines.size()}, {"epoch", published_epoch_}});
-  published_ = context_->runtime.now();
+  last_published_at_ = context_->runtime.now();
   publisher_->publish(text);
 }
 
@@ -74,44 +74,45 @@
   }
 }
 
-// While cores come up they take the role from each other, and each one without a list reads it as soon as the
-// role is its own: that costs a few calls to the platform more than waiting until the role has come to rest,
-// and every node waits for the first list. An owner that has a list leaves a pause after its predecessor's.
+// While cores start up the role passes from one to another. A new owner without a list polls at once, since
+// every node waits for the first list; this costs a few more calls to the platform than waiting until the
+// owner no longer changes. A new owner that has a list waits for a full poll period, counted from when it
+// became owner, since its predecessor may just have polled.
 bool engine_list_poller::is_poll_due() {
   auto& shared = *context_;
   if (!shared.engine_list_role.is_owner() || shared.place.platform.empty()) return false;
   auto now = shared.runtime.now();
-  bool none = shared.configs.engines_text().empty();
+  bool no_list = shared.configs.engines_text().empty();
   bool new_epoch = polled_epoch_ != shared.engine_list_role.epoch();
   if (new_epoch) {
     polled_epoch_ = shared.engine_list_role.epoch();
-    polled_ = now;
+    last_polled_at_ = now;
   }
-  if (none && new_epoch) return true;
-  return now - polled_ >= (none ? first_list_retry : pause_);
+  if (no_list && new_epoch) return true;
+  return now - last_polled_at_ >= (no_list ? first_list_retry_period : adapter_poll_period_);
 }
 
 task<> engine_list_poller::poll_with_adapter() {
   auto self = shared_from_this();
   auto shared = self->context_;
-  bool none = shared->configs.engines_text().empty();
-  self->polled_ = shared->runtime.now();
-  auto owned_epoch = shared->engine_list_role.epoch();
+  bool no_list = shared->configs.engines_text().empty();
+  self->last_polled_at_ = shared->runtime.now();
+  auto epoch_at_poll = shared->engine_list_role.epoch();
   auto listing = co_await engine::fetch_listing(shared->runtime, shared->place.platform,
                                                 shared->platform_adapter, platform_timeout);
   if (!listing) {
     shared->logger.count("herontally_platform_silent_total");
     co_return;
   }
-  // Another core owns the role by now, or has published a list while this one was being read: that one
-  // counts.
-  bool superseded = owned_epoch != shared->engine_list_role.epoch() || !shared->engine_list_role.is_owner();
-  if (superseded || (none && !shared->configs.engines_text().empty())) co_return;
-  // At most half of the rate is ours: edges that are cut off look for themselves.
+  // Another core owns the role by now, or has published a first list meanwhile: that one takes precedence.
+  bool superseded = epoch_at_poll != shared->engine_list_role.epoch() || !shared->engine_list_role.is_owner();
+  if (superseded || (no_list && !shared->configs.engines_text().empty())) co_return;
+  // Polls use at most half of the shared rate: edges that are cut off from the cores poll the platform
+  // themselves.
   double rate = std::max(shared->place.list_rate, min_list_rate);
-  self->pause_ =
+  self->adapter_poll_period_ =
       std::max(min_adapter_poll_period, static_cast<microseconds>(listing->pages * 2 / rate * second));
-  self->enter_epoch();
+  self->update_epoch();
   std::string text = engine::to_json_text(listing->engines);
   for (auto& engine : listing->engines)
     if (engine.draining) self->report_draining(engine.id, json(engine).dump());
@@ -124,8 +125,8 @@
 task<> engine_list_poller::run_with_adapter() {
   auto self = shared_from_this();
   while (true) {
-    bool none = self->context_->configs.engines_text().empty();
-    co_await self->context_->runtime.sleep(none ? first_list_check_period : adapter_check_period);
+    bool no_list = self->context_->configs.engines_text().empty();
+    co_await self->context_->runtime.sleep(no_list ? first_list_check_period : adapter_check_period);
     if (self->is_poll_due()) co_await self->poll_with_adapter();
   }
 }
--- a/src/control_node/engine_list_poller.h
+++ b/src/control_node/engine_list_poller.h
@@ -1,7 +1,7 @@
-// Internal to the control node: polls the platform's list of engines, on the core that owns the role, and
-// publishes it.
+// Internal to the control node: polls the platform's list of engines on the core that owns the engine list
+// role, and gives it to engine_list_publisher.h.
 //
-// A platform that is silent, out of order or asked too often has said nothing: the last list stays.
+// If the platform doesn't answer, answers with an error or limits the rate, the last list stays in force.
 #pragma once
 #include "control_node/engine_list_publisher.h"
 
@@ -15,22 +15,24 @@
   task<> run();
 
  private:
-  // The product's own protocol.
+  // Polls a platform that uses the product's own protocol.
   task<> run_own_protocol();
   void handle_own_list(const json& engines);
-  // Through the adapter, where each call has its price and all nodes share one rate.
+  // Polls through the platform's adapter, where calls are limited: all nodes share one rate.
   task<> run_with_adapter();
   bool is_poll_due();
   task<> poll_with_adapter();
-  void enter_epoch();
+  // Lets the publisher begin a new epoch if the role's epoch has changed since the last list.
+  void update_epoch();
+  // Logs that the engine leaves, unless `entry`, its entry in the list, was in the last published list.
   void report_draining(const std::string& engine, const std::string& entry) const;
 
   std::shared_ptr<context> context_;
   std::shared_ptr<engine_list_publisher> publisher_;
   std::int64_t published_epoch_ = 0;
   std::int64_t polled_epoch_ = 0;
-  microseconds published_ = 0, polled_ = 0;
-  microseconds pause_ = 500 * millisecond;
+  microseconds last_published_at_ = 0, last_polled_at_ = 0;
+  microseconds adapter_poll_period_ = 500 * millisecond;
 };
 
 }  // namespace herontally::control_node
--- a/src/control_node/engine_list_publisher.h
+++ b/src/control_node/engine_list_publisher.h
@@ -1,5 +1,5 @@
-// Internal to the control node: hands the engine list from the core that polls the platform to all cores, and
-// takes it there under the owner's epoch.
+// Internal to the control node: sends the engine list from the core that polls the platform to all cores, and
+// accepts it there under the owner's epoch. It doesn't poll the platform; see engine_list_poller.h.
 #pragma once
 #include "control_node/context.h"
 
@@ -8,14 +8,17 @@
 class engine_list_publisher : public std::enable_shared_from_this<engine_list_publisher> {
  public:
   explicit engine_list_publisher(std::shared_ptr<context> shared) : context_(std::move(shared)) {}
-  // Sends the list, or that it still holds, to every core, this one included. The list has a new sequence
-  // only when it is another one: every agent fetches a list of a new sequence.
+  // Sends the list to every core, this one included; cores that have it get only a confirmation. The sequence
+  // number grows only when the list differs from the last one, since every agent fetches the list when the
+  // number is new.
   void publish(const std::string& text);
-  // Begins a new epoch: the first list is a new one.
+  // Starts the sequence numbers of a new epoch. The first list that is published afterwards counts as new.
   void begin_epoch();
   // The list that was published last; empty: none in this epoch.
   const std::string& last_published() const { return last_text_; }
-  // Serves engine_list_request.
+  // Handles engine_list_request: accepts the list, or the confirmation of the list that this core has.
+  // ballot_outdated: the sender's epoch was superseded; content_missing: this core doesn't have the list that
+  // is confirmed.
   rpc::engine_list_reply take(const rpc::engine_list_request& request);
 
  private:
@@ -25,8 +28,8 @@
   std::shared_ptr<context> context_;
   std::string last_text_;
   std::int64_t sequence_ = 0;
-  // By a core's name and incarnation: the list that it took from us last.
-  std::map<std::string, list_version> taken_by_;
+  // By a core's name and incarnation: the version that it accepted from this node last.
+  std::map<std::string, list_version> accepted_by_;
   singleton::epoch_fence fence_;
 };
 
