--- a/tests/singleton_role_test.cc
+++ b/tests/singleton_role_test.cc
@@ -1,4 +1,5 @@
-// The owner of a singleton role, when another node claims the role too.
+// The owner of a singleton role must notice when another node claims the role, also if no receiver refuses
+// its epoch: it would go on under an epoch that has been superseded.
 #include "singleton/singleton_role.h"
 
 #include "replica_group_fixture.h"
@@ -18,8 +19,8 @@
   return entry;
 }
 
-// Claims as a node does that has just started and knows only itself.
-void claim_elsewhere(group& site, std::int64_t epoch) {
+// Writes the claim of node x, as a node does that has just started and knows no other node.
+void claim_by_other_node(group& site, std::int64_t epoch) {
   auto other = site.writer("x");
   nlohmann::json claim{{"epoch", epoch}, {"holder", "x/1/drawn"}};
   auto write = [claim](const std::optional<std::string>&) {
@@ -31,7 +32,7 @@
 
 }  // namespace
 
-TEST_CASE("an owner notices that its role was claimed elsewhere and claims it anew") {
+TEST_CASE("an owner notices that another node claimed its role and claims it again") {
   for (std::uint64_t seed : {71, 72, 73}) {
     group site(seed, 3);
     auto catalog = site.begin();
@@ -40,16 +41,16 @@
     role.start();
     REQUIRE(site.world.run_until([&role] { return role.is_owner(); }, 5 * second));
     for (int round = 0; round < 3; ++round) {
-      auto theirs = role.epoch() + 1;
-      claim_elsewhere(site, theirs);
+      auto other_epoch = role.epoch() + 1;
+      claim_by_other_node(site, other_epoch);
       site.world.run_for(3 * second);
       CHECK(role.is_owner());
-      CHECK(role.epoch() > theirs);
+      CHECK(role.epoch() > other_epoch);
     }
   }
 }
 
-TEST_CASE("an owner that nobody supersedes keeps its epoch") {
+TEST_CASE("an owner that is not superseded keeps its epoch") {
   group site(74, 3);
   auto catalog = site.begin();
   membership::member_list members(catalog.endpoint(), core_entry("w"), {});
@@ -57,7 +58,7 @@
   role.start();
   REQUIRE(site.world.run_until([&role] { return role.is_owner(); }, 5 * second));
   auto epoch = role.epoch();
-  // Also while the register can't be read for a while.
+  // It also keeps the epoch while the register can't be read.
   site.world.kill("s1", simulator::disk_loss::none, true);
   site.world.kill("s2", simulator::disk_loss::none, true);
   site.world.run_for(5 * second);
