--- a/src/rpc/endpoint.cc
+++ b/src/rpc/endpoint.cc
@@ -8,10 +8,10 @@
 
 constexpr const char* envelope_record = "envelope";
 
-// Why a message was dropped; the values label a metric.
+// Why a received message was dropped; a label of `herontally_inner_dropped_total`.
 enum class drop_reason { garbage, version, unknown_kind, malformed };
 
-const char* name_of(drop_reason reason) {
+const char* label_of(drop_reason reason) {
   switch (reason) {
     case drop_reason::garbage:
       return "garbage";
@@ -25,52 +25,52 @@
   return "";
 }
 
-// The message around a body; nothing if that can't be sent.
-std::optional<std::string> seal(int version, const std::string& sender, const std::string& kind,
-                                std::optional<std::string> body) {
+// Encodes the envelope around an encoded body; nullopt if either can't be encoded.
+std::optional<std::string> encode_envelope(int version, const std::string& sender, const std::string& kind,
+                                           std::optional<std::string> body) {
   if (!body) return std::nullopt;
-  envelope cover{version, kind, sender, std::move(*body)};
-  // As a version after ours might: something after the fields that we know.
-  if (version > protocol_version) cover.body += std::string(3, '\2');
-  return encode_record(envelope_record, cover);
+  envelope message{version, kind, sender, std::move(*body)};
+  // Simulates a newer version, which may append fields that this version doesn't know.
+  if (version > protocol_version) message.body += std::string(3, '\2');
+  return encode_record(envelope_record, message);
 }
 
-std::variant<envelope, drop_reason> unseal(int version, const std::string& bytes) {
-  auto cover = decode_record<envelope>(envelope_record, bytes);
-  if (!cover) return drop_reason::garbage;
-  if (cover->version < version - 1 || cover->version > version + 1) return drop_reason::version;
-  return std::move(*cover);
+// Decodes an envelope of a compatible version; its body stays encoded.
+std::variant<envelope, drop_reason> decode_envelope(int version, const std::string& bytes) {
+  auto message = decode_record<envelope>(envelope_record, bytes);
+  if (!message) return drop_reason::garbage;
+  if (message->version < version - 1 || message->version > version + 1) return drop_reason::version;
+  return std::move(*message);
 }
 
-// A request with the task that handles it, and what its reply is sent as.
-struct opened_request {
-  runtime::task<std::optional<std::string>> handling;
+// The task that handles a received request, not yet started, and the kind of its reply.
+struct request_task {
+  runtime::task<std::optional<std::string>> task;
   std::string reply_kind;
 };
 
-runtime::task<> run_handler(logging::logger logger, int version, std::string sender, opened_request request,
+runtime::task<> run_handler(logging::logger logger, int version, std::string sender, request_task request,
                             std::function<void(std::string)> send_reply) {
   std::optional<std::string> body;
   std::string failure;
   try {
-    body = co_await request.handling;
+    body = co_await request.task;
   } catch (const std::exception& error) {
     failure = error.what();
   }
   if (!failure.empty()) {
-    // To the caller it is a message that nobody could read.
+    // The caller sees a closed channel, as for a request that can't be decoded.
     logger.count("herontally_inner_failures_total");
-    logger.error("the handler of an inner message has thrown",
-                 {{"reply", request.reply_kind}, {"what", failure}});
+    logger.error("request handler threw an exception", {{"reply", request.reply_kind}, {"what", failure}});
     co_return send_reply("");
   }
-  auto sealed = seal(version, sender, request.reply_kind, std::move(body));
-  // A reply that our own schema refuses is a fault of this process; the caller sees a closed channel.
-  if (sealed) logger.count("herontally_inner_answer_bytes_total", static_cast<double>(sealed->size()));
-  send_reply(sealed ? std::move(*sealed) : std::string());
+  auto encoded = encode_envelope(version, sender, request.reply_kind, std::move(body));
+  // A reply that doesn't fit the schema is a bug of this process; the caller sees a closed channel.
+  if (encoded) logger.count("herontally_inner_answer_bytes_total", static_cast<double>(encoded->size()));
+  send_reply(encoded ? std::move(*encoded) : std::string());
 }
 
-error error_of(runtime::channel_error failure) {
+error to_error(runtime::channel_error failure) {
   switch (failure) {
     case runtime::channel_error::timed_out:
       return error::timed_out;
@@ -86,6 +86,7 @@
 
 }  // namespace
 
+// Shared by the copies of an endpoint.
 struct endpoint::state {
   runtime::handle runtime;
   std::string sender;
@@ -93,42 +94,43 @@
   int version = protocol_version;
   struct registered_handler {
     std::string reply_kind;
-    raw_handler open;
+    raw_handler handler;
   };
-  std::map<std::string, registered_handler> handlers;  // by the request's kind
-  std::map<std::string, std::string> asked_metrics;    // names of the counters of requests sent, by kind
+  std::map<std::string, registered_handler> handlers;   // by the request's kind
+  std::map<std::string, std::string> request_counters;  // name of the counter of sent requests, by kind
 
-  std::variant<opened_request, drop_reason> open(const std::string& bytes) const;
-  void count_asked(const std::string& kind, std::size_t bytes);
+  // The task that handles the request in `bytes`, or why the request is dropped.
+  std::variant<request_task, drop_reason> make_request_task(const std::string& bytes) const;
+  void count_request(const std::string& kind, std::size_t bytes);
   void drop(drop_reason reason, std::size_t bytes) const;
 };
 
-std::variant<opened_request, drop_reason> endpoint::state::open(const std::string& bytes) const {
-  auto opened = unseal(version, bytes);
-  if (auto* reason = std::get_if<drop_reason>(&opened)) return *reason;
-  auto& cover = std::get<envelope>(opened);
-  auto found = handlers.find(cover.kind);
+std::variant<request_task, drop_reason> endpoint::state::make_request_task(const std::string& bytes) const {
+  auto received = decode_envelope(version, bytes);
+  if (auto* reason = std::get_if<drop_reason>(&received)) return *reason;
+  auto& message = std::get<envelope>(received);
+  auto found = handlers.find(message.kind);
   if (found == handlers.end()) return drop_reason::unknown_kind;
-  auto handling = found->second.open(cover.body, {std::min(cover.version, version), version});
-  if (!handling) return drop_reason::malformed;
-  return opened_request{std::move(*handling), found->second.reply_kind};
+  auto task = found->second.handler(message.body, {std::min(message.version, version), version});
+  if (!task) return drop_reason::malformed;
+  return request_task{std::move(*task), found->second.reply_kind};
 }
 
-void endpoint::state::count_asked(const std::string& kind, std::size_t bytes) {
-  auto [name, inserted] = asked_metrics.try_emplace(kind);
+void endpoint::state::count_request(const std::string& kind, std::size_t bytes) {
+  auto [name, inserted] = request_counters.try_emplace(kind);
   if (inserted) name->second = "herontally_inner_asked_total{kind=\"" + kind + "\"}";
   logger.count(name->second);
   logger.count("herontally_inner_asked_bytes_total", static_cast<double>(bytes));
 }
 
 void endpoint::state::drop(drop_reason reason, std::size_t bytes) const {
-  logger.count(std::string("herontally_inner_dropped_total{reason=\"") + name_of(reason) + "\"}");
-  logger.warn("inner message dropped", {{"reason", name_of(reason)}, {"bytes", bytes}});
+  logger.count(std::string("herontally_inner_dropped_total{reason=\"") + label_of(reason) + "\"}");
+  logger.warn("received message dropped", {{"reason", label_of(reason)}, {"bytes", bytes}});
 }
 
 endpoint::endpoint(runtime::handle runtime, std::string sender, logging::logger logger)
     : state_(std::make_shared<state>(state{runtime, std::move(sender), logger, protocol_version, {}, {}})) {
-  // Handlers hold what holds this endpoint: they are let go, so that the ring is broken.
+  // Handlers own objects that own this endpoint. Removing them breaks the reference cycle.
   runtime.on_stop([weak = std::weak_ptr<state>(state_)] {
     if (auto self = weak.lock()) self->handlers.clear();
   });
@@ -140,8 +142,8 @@
 runtime::handle endpoint::runtime() const { return state_->runtime; }
 logging::logger endpoint::logger() const { return state_->logger; }
 
-void endpoint::add_handler(std::string request_kind, std::string reply_kind, raw_handler open) {
-  state_->handlers[request_kind] = {std::move(reply_kind), std::move(open)};
+void endpoint::add_handler(std::string request_kind, std::string reply_kind, raw_handler handler) {
+  state_->handlers[request_kind] = {std::move(reply_kind), std::move(handler)};
 }
 
 bool endpoint::listen(const std::string& address) {
@@ -149,8 +151,8 @@
   auto receive = [weak](std::string bytes, std::function<void(std::string)> send_reply) {
     auto self = weak.lock();
     if (!self) return;
-    auto opened = self->open(bytes);
-    if (auto* reason = std::get_if<drop_reason>(&opened)) {
+    auto request = self->make_request_task(bytes);
+    if (auto* reason = std::get_if<drop_reason>(&request)) {
       self->drop(*reason, bytes.size());
       // An empty reply closes the channel.
       return send_reply("");
@@ -158,7 +160,7 @@
     self->logger.count("herontally_inner_messages_total");
     self->logger.count("herontally_inner_bytes_total", static_cast<double>(bytes.size()));
     self->runtime.spawn(run_handler(self->logger, self->version, self->sender,
-                                    std::move(std::get<opened_request>(opened)), std::move(send_reply)));
+                                    std::move(std::get<request_task>(request)), std::move(send_reply)));
   };
   return state_->runtime.serve(address, receive);
 }
@@ -169,26 +171,26 @@
                                                                    std::optional<std::string> body,
                                                                    runtime::microseconds timeout) const {
   auto self = state_;
-  auto sealed = seal(self->version, self->sender, request_kind, std::move(body));
-  if (!sealed) {
-    self->logger.error("own message does not fit the schema", {{"kind", request_kind}});
+  auto encoded = encode_envelope(self->version, self->sender, request_kind, std::move(body));
+  if (!encoded) {
+    self->logger.error("outgoing message does not fit the schema", {{"kind", request_kind}});
     co_return error::malformed;
   }
-  self->count_asked(request_kind, sealed->size());
-  auto result = co_await self->runtime.call(std::move(address), std::move(*sealed), timeout);
-  if (auto* failed = std::get_if<runtime::channel_error>(&result)) co_return error_of(*failed);
+  self->count_request(request_kind, encoded->size());
+  auto result = co_await self->runtime.call(std::move(address), std::move(*encoded), timeout);
+  if (auto* failed = std::get_if<runtime::channel_error>(&result)) co_return to_error(*failed);
   auto& bytes = std::get<std::string>(result);
   self->logger.count("herontally_inner_answers_received_bytes_total", static_cast<double>(bytes.size()));
-  auto opened = unseal(self->version, bytes);
-  if (!std::holds_alternative<envelope>(opened)) co_return error::malformed;
-  auto& cover = std::get<envelope>(opened);
-  if (cover.kind != reply_kind) co_return error::malformed;
-  co_return received_body{std::move(cover.body), std::min(cover.version, self->version)};
+  auto received = decode_envelope(self->version, bytes);
+  if (!std::holds_alternative<envelope>(received)) co_return error::malformed;
+  auto& message = std::get<envelope>(received);
+  if (message.kind != reply_kind) co_return error::malformed;
+  co_return received_body{std::move(message.body), std::min(message.version, self->version)};
 }
 
 void endpoint::report_unrecognized_status(const char* request_kind) const {
   state_->logger.count("herontally_inner_unrecognized_status_total");
-  state_->logger.warn("reply with a status that this version doesn't know", {{"kind", request_kind}});
+  state_->logger.warn("reply has a status that this version doesn't recognize", {{"kind", request_kind}});
 }
 
 }  // namespace herontally::rpc
--- a/src/rpc/endpoint.h
+++ b/src/rpc/endpoint.h
@@ -1,8 +1,8 @@
-// Typed request and reply between nodes, over the runtime's channels.
+// Typed requests and replies between nodes, sent over the runtime's channels.
 //
-// An endpoint belongs to one process and lives on its event loop; copies share one state. A message carries
-// the sender's protocol version: a node of the version before or after is understood, any other is refused
-// and counted.
+// An endpoint belongs to one process and is used only on its event loop; copies share one state. Each message
+// carries the sender's protocol version. Messages from nodes one version older or newer are accepted, all
+// others are refused and counted. Requests are not retried here.
 #pragma once
 #include "logging/logging.h"
 #include "rpc/codec.h"
@@ -14,10 +14,11 @@
 // Why there is no reply.
 enum class error {
   unreachable,  // no connection: certainly not received
-  timed_out,    // it may have been received and carried out
-  refused,      // the receiver closed the channel: it doesn't know the kind or the version, or is going down
-  malformed,    // a request or reply that doesn't fit the schema
+  timed_out,    // the request may have been received and carried out
+  refused,      // the receiver closed the channel: it can't decode or handle the request, or is shutting down
+  malformed,    // the request is too large or can't be encoded, or the reply can't be decoded
 };
+// The reply to a call, or why there is none.
 template <class Reply>
 using outcome = std::variant<Reply, error>;
 
@@ -27,34 +28,35 @@
   return std::get_if<Reply>(&result);
 }
 
+// One node's side of the protocol: sends requests, and passes received ones to handlers.
 class endpoint {
  public:
-  // `sender` is this node's name, which every message carries.
+  // `sender` is this node's name and is part of every message.
   endpoint(runtime::handle runtime, std::string sender, logging::logger logger);
 
-  // Takes requests at this ip:port; false if the address can't be listened on. Kinds without a handler are
-  // refused.
+  // Accepts requests at this ip:port; false if listening fails. Requests without a handler, of an
+  // incompatible version or that can't be decoded are refused.
   bool listen(const std::string& address);
-  // Speaks another protocol version than the newest; for tests and simulated upgrades.
+  // Uses this protocol version instead of the newest; for tests and simulated upgrades.
   void set_version(int version);
 
   const std::string& sender() const;
   runtime::handle runtime() const;
   logging::logger logger() const;
 
-  // Registers the handler of a kind of request, in place of an earlier one. Each request runs as a task of
-  // its own, so that handlers of the same kind run side by side. Handlers are dropped when the runtime stops.
+  // Registers the handler of a request type and replaces an earlier one. Each request runs as its own task,
+  // so several handlers of one type may run concurrently. Handlers are removed when the runtime stops.
   template <class Request>
   void serve(std::function<runtime::task<typename Request::reply>(Request)> handler) {
-    auto open = [handler](const std::string& body, message_versions versions) -> std::optional<reply_task> {
+    auto raw = [handler](const std::string& body, message_versions versions) -> std::optional<reply_task> {
       auto request = decode<Request>(body, versions.request);
       if (!request) return std::nullopt;
       return run<Request>(handler, std::move(*request), versions.reply);
     };
-    add_handler(Request::kind, Request::reply::kind, std::move(open));
+    add_handler(Request::kind, Request::reply::kind, std::move(raw));
   }
 
-  // Sends a request to `address` and waits for its reply, at most `timeout` microseconds.
+  // Sends a request to `address` (ip:port) and waits at most `timeout` microseconds for its reply.
   template <class Request>
   runtime::task<outcome<typename Request::reply>> call(std::string address, Request request,
                                                        runtime::microseconds timeout) const {
@@ -72,17 +74,17 @@
   }
 
  private:
-  // The protocol versions that a request is read with and its reply written with.
+  // The protocol versions with which a request is decoded and its reply is encoded.
   struct message_versions {
     int request, reply;
   };
   struct received_body {
     std::string bytes;
-    int version;  // to read them with
+    int version;  // to decode the bytes with
   };
-  // Ends with the reply's bytes; with nothing if the reply can't be sent.
+  // Returns the encoded reply; nullopt if the reply can't be encoded.
   using reply_task = runtime::task<std::optional<std::string>>;
-  // Reads a request and makes the task that handles it; nothing if the bytes are no such request.
+  // Decodes a request and returns the task that handles it; nullopt if the bytes don't hold such a request.
   using raw_handler =
       std::function<std::optional<reply_task>(const std::string& body, message_versions versions)>;
 
@@ -92,12 +94,12 @@
     typename Request::reply reply = co_await handler(std::move(request));
     co_return encode(reply, reply_version);
   }
-  // A message may be large, and is not held while its reply is waited for.
+  // Takes the request by value, so that a large one is freed before the wait for its reply.
   template <class Request>
   std::optional<std::string> encode_and_free(Request request) const {
     return encode(request, version());
   }
-  void add_handler(std::string request_kind, std::string reply_kind, raw_handler open);
+  void add_handler(std::string request_kind, std::string reply_kind, raw_handler handler);
   runtime::task<outcome<received_body>> call_raw(std::string address, std::string request_kind,
                                                  std::string reply_kind, std::optional<std::string> body,
                                                  runtime::microseconds timeout) const;
--- a/src/rpc/member.h
+++ b/src/rpc/member.h
@@ -1,5 +1,6 @@
-// A node as the cluster membership describes it, and the words that stand for its role and status on the
-// wire.
+// A node's entry in the cluster membership, with the names of its role and status on the wire.
+//
+// The membership protocol itself is in membership/.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -9,7 +10,7 @@
 
 namespace herontally::rpc {
 
-// What a node does. `unrecognized` is a role that this version doesn't know; it is never sent.
+// A node's role. `unrecognized` is a role that this version doesn't know; it is never sent.
 enum class node_role { unrecognized, core, store, agent, proxy };
 HERONTALLY_ENUM_WORDS(node_role, {{node_role::unrecognized, nullptr},
                                   {node_role::core, "hcore"},
@@ -17,7 +18,8 @@
                                   {node_role::agent, "hagent"},
                                   {node_role::proxy, "hproxy"}})
 
-// SWIM's states, and `left` for a node that announced its shutdown. `unrecognized` is never sent.
+// The states of SWIM, and `left` for a node that announced its shutdown. `unrecognized` is a status that this
+// version doesn't know; it is never sent.
 enum class member_status { unrecognized, alive, suspect, dead, left };
 HERONTALLY_ENUM_WORDS(member_status, {{member_status::unrecognized, nullptr},
                                       {member_status::alive, "alive"},
@@ -25,12 +27,11 @@
                                       {member_status::dead, "dead"},
                                       {member_status::left, "left"}})
 
-// The word that stands for a role or a status on the wire, in logs and in the operators' API; empty for
-// `unrecognized`.
+// The name of a role or a status on the wire, in logs and in the operator API; empty for `unrecognized`.
 template <class Enum>
 std::string wire_name(Enum value) {
-  auto* word = serialization::word_of(value);
-  return word ? word : "";
+  auto* name = serialization::word_of(value);
+  return name ? name : "";
 }
 
 // One entry of the membership, keyed by `name`. Addresses are ip:port.
@@ -38,12 +39,12 @@
   std::string name;
   node_role role = node_role::unrecognized;
   std::string zone;
-  std::string inner;  // where the inner protocol is served
-  std::string http;   // where the node's HTTP pages are served
-  // Grows from one start of the node to the next: wall clock of the start, in microseconds.
+  std::string inner;  // where the node is probed: its rpc address; for a proxy that of its agent
+  std::string http;   // where the node serves HTTP; for a proxy its rpc address
+  // Wall-clock time of the node's start, in microseconds since 1970. Increases with every restart.
   std::int64_t incarnation = 0;
   member_status status = member_status::alive;
-  // Raised by a live node to refute a suspicion of the same incarnation.
+  // Incremented by a live node to refute a suspicion of the same incarnation.
   std::int64_t refutations = 0;
 
   static constexpr auto json_fields() {
@@ -54,7 +55,7 @@
                            json_field(&member::status, "status"), json_field(&member::refutations, "doubt"));
   }
 
-  // Alive, or suspected but not declared dead yet.
+  // Alive, or suspected but not yet declared dead.
   bool is_live() const { return status == member_status::alive || status == member_status::suspect; }
 };
 
--- a/src/rpc/message_value.h
+++ b/src/rpc/message_value.h
@@ -1,9 +1,9 @@
-// Lets avro-c read and write typed messages in place.
+// Lets avro-c read and write the members of C++ structs directly, without an intermediate copy.
 //
-// avro-c reaches a value through a table of calls, its value interface. A `value_class` is such a table for
-// one C++ type as one schema describes it: a struct that lists its members is a record, a vector an array, an
-// enumeration the word that stands for its value. Nothing lies between the struct and the bytes. Internal to
-// the rpc package.
+// avro-c accesses a value through a table of functions, its value interface (`avro_value_iface_t`). A
+// `value_class` is such a table for one C++ type as described by one schema: a struct with `json_fields` is a
+// record, a vector is an array, and an enum is the string that names its value on the wire. Internal to the
+// rpc package; callers use rpc/codec.h.
 #pragma once
 #include <avro.h>
 
@@ -22,26 +22,28 @@
 
 struct record_field;
 
+// The value interface of one C++ type, and what its functions need to know of that type.
 struct value_class {
-  // First, since avro-c hands its address to each call.
-  avro_value_iface_t calls{};
+  // The first member: avro-c passes its address to each function, and `class_of_interface` casts it back.
+  avro_value_iface_t interface {};
   std::vector<record_field> fields;  // of a record
   std::vector<value_class> items;    // of an array: the class of its items
 };
 
-// A member of a struct, at the place that the schema gives it.
+// One field of a record, stored in a member of a struct.
 struct record_field {
   std::size_t offset = 0;  // of the member in its struct
   value_class type;
 };
 
-// The bytes of a value; nothing if it holds what can't be sent: a text with a zero byte, or a value of an
-// enumeration that has no word.
+// Encodes a value. Returns nullopt if it can't be encoded: a string with a zero byte, or an enum value that
+// has no name on the wire. Not thread-safe: all calls share one writer.
 std::optional<std::string> write_value(const value_class& type, const void* object);
-// Reads a value from the front of `bytes` into a new object; false if they hold none.
+// Decodes a value from the start of `bytes` into a default-constructed object and ignores the bytes after it;
+// false if the bytes hold no such value. Not thread-safe: all calls share one reader.
 bool read_value(const value_class& type, const std::string& bytes, void* object);
 
-// Classes of the basic types.
+// Value classes of the basic types. That of a record has no fields yet.
 value_class boolean_class();
 value_class integer_class();
 value_class long_class();
@@ -51,55 +53,61 @@
 
 namespace message_value {
 
-// From outside a list may name any length.
+// Bounds the memory that a message with a forged array length can take.
 constexpr std::size_t max_array_length = 200000;
 
-inline const value_class& class_behind(const avro_value_iface_t* calls) {
-  return *reinterpret_cast<const value_class*>(calls);
+// The value class whose `interface` is passed to one of avro-c's functions.
+inline const value_class& class_of_interface(const avro_value_iface_t* interface) {
+  return *reinterpret_cast<const value_class*>(interface);
 }
 
-inline avro_value_t value_of(const value_class& type, void* object) {
-  return {const_cast<avro_value_iface_t*>(&type.calls), object};
+// The handle through which avro-c accesses `object`.
+inline avro_value_t make_value(const value_class& type, void* object) {
+  return {const_cast<avro_value_iface_t*>(&type.interface), object};
 }
 
-// A message whose struct doesn't fit the schema is a fault of the build.
-inline void require(bool fits) {
-  if (!fits) std::abort();
+// Aborts if a struct doesn't fit the schema: both are compiled into the program, so that is a build error.
+inline void abort_unless(bool condition) {
+  if (!condition) std::abort();
 }
 
-inline avro_schema_t resolved(avro_schema_t schema) {
+// The schema that a link (a reference to a named type) refers to.
+inline avro_schema_t resolve_link(avro_schema_t schema) {
   return is_avro_link(schema) ? avro_schema_link_target(schema) : schema;
 }
 
+// avro-c's functions for a vector.
 template <class Type>
-struct array_calls;
+struct array_functions;
 template <class Type>
-struct array_calls<std::vector<Type>> {
-  using list = std::vector<Type>;
+struct array_functions<std::vector<Type>> {
+  using vector_type = std::vector<Type>;
 
   static int get_size(const avro_value_iface_t*, const void* object, std::size_t* size) {
-    *size = static_cast<const list*>(object)->size();
+    *size = static_cast<const vector_type*>(object)->size();
     return 0;
   }
-  static int get_by_index(const avro_value_iface_t* calls, const void* object, std::size_t index,
+  static int get_by_index(const avro_value_iface_t* interface, const void* object, std::size_t index,
                           avro_value_t* child, const char**) {
-    auto& items = *static_cast<list*>(const_cast<void*>(object));
+    auto& items = *static_cast<vector_type*>(const_cast<void*>(object));
     if (index >= items.size()) return EINVAL;
-    *child = value_of(class_behind(calls).items.front(), &items[index]);
+    *child = make_value(class_of_interface(interface).items.front(), &items[index]);
     return 0;
   }
-  static int append(const avro_value_iface_t* calls, void* object, avro_value_t* child, std::size_t* index) {
-    auto& items = *static_cast<list*>(object);
+  static int append(const avro_value_iface_t* interface, void* object, avro_value_t* child,
+                    std::size_t* index) {
+    auto& items = *static_cast<vector_type*>(object);
     if (items.size() >= max_array_length) return EINVAL;
     if (index) *index = items.size();
     items.emplace_back();
-    *child = value_of(class_behind(calls).items.front(), &items.back());
+    *child = make_value(class_of_interface(interface).items.front(), &items.back());
     return 0;
   }
 };
 
+// avro-c's functions for an enum, which the schema has as a string.
 template <class Enum>
-struct enum_calls {
+struct enum_functions {
   static int get_string(const avro_value_iface_t*, const void* object, const char** text, std::size_t* size) {
     *text = serialization::word_of(*static_cast<const Enum*>(object));
     if (!*text) return EINVAL;
@@ -107,10 +115,10 @@
     return 0;
   }
   static int give_string(const avro_value_iface_t*, void* object, avro_wrapped_buffer_t* text) {
-    auto* letters = static_cast<const char*>(text->buf);
+    auto* characters = static_cast<const char*>(text->buf);
     if (text->size > 0)
       *static_cast<Enum*>(object) =
-          serialization::value_of_word<Enum>(std::string_view(letters, text->size - 1));
+          serialization::value_of_word<Enum>(std::string_view(characters, text->size - 1));
     int result = text->size > 0 ? 0 : EINVAL;
     avro_wrapped_buffer_free(text);
     return result;
@@ -125,6 +133,7 @@
 template <class Type>
 value_class make_class(avro_schema_t schema);
 
+// The offset of a member. `offsetof` takes no pointer to member.
 template <class Struct, class Field>
 std::size_t offset_of(const Field& field) {
   static const Struct sample{};
@@ -137,59 +146,60 @@
   return {offset_of<Struct>(field), make_class<Value>(schema)};
 }
 
-// The members in the order of the schema's fields; a member that this version of the schema lacks is left
-// out.
+// Lists the members in the order of the schema's fields. Members that this version of the schema doesn't have
+// are left out.
 template <class Struct>
 value_class make_record_class(avro_schema_t schema) {
-  require(is_avro_record(schema));
-  value_class made = record_class();
+  abort_unless(is_avro_record(schema));
+  value_class result = record_class();
   for (std::size_t index = 0; index < avro_schema_record_size(schema); ++index) {
     const char* name = avro_schema_record_field_name(schema, static_cast<int>(index));
     avro_schema_t field_schema =
-        resolved(avro_schema_record_field_get_by_index(schema, static_cast<int>(index)));
+        resolve_link(avro_schema_record_field_get_by_index(schema, static_cast<int>(index)));
     auto add_if_named = [&](const auto& field) {
-      if (std::strcmp(field.key, name) == 0) made.fields.push_back(make_field(field, field_schema));
+      if (std::strcmp(field.key, name) == 0) result.fields.push_back(make_field(field, field_schema));
     };
     std::apply([&](const auto&... field) { (add_if_named(field), ...); }, Struct::json_fields());
-    require(made.fields.size() == index + 1);
+    abort_unless(result.fields.size() == index + 1);
   }
-  return made;
+  return result;
 }
 
 template <class List>
 value_class make_array_class(avro_schema_t schema) {
-  require(is_avro_array(schema));
-  value_class made;
-  made.calls.get_type = [](const avro_value_iface_t*, const void*) { return AVRO_ARRAY; };
-  made.calls.get_size = array_calls<List>::get_size;
-  made.calls.get_by_index = array_calls<List>::get_by_index;
-  made.calls.append = array_calls<List>::append;
-  made.items.push_back(make_class<typename List::value_type>(resolved(avro_schema_array_items(schema))));
-  return made;
+  abort_unless(is_avro_array(schema));
+  value_class result;
+  result.interface.get_type = [](const avro_value_iface_t*, const void*) { return AVRO_ARRAY; };
+  result.interface.get_size = array_functions<List>::get_size;
+  result.interface.get_by_index = array_functions<List>::get_by_index;
+  result.interface.append = array_functions<List>::append;
+  result.items.push_back(
+      make_class<typename List::value_type>(resolve_link(avro_schema_array_items(schema))));
+  return result;
 }
 
 template <class Enum>
 value_class make_enum_class(avro_schema_t schema) {
-  require(is_avro_string(schema));
-  value_class made = string_class();
-  made.calls.get_string = enum_calls<Enum>::get_string;
-  made.calls.give_string_len = enum_calls<Enum>::give_string;
-  return made;
+  abort_unless(is_avro_string(schema));
+  value_class result = string_class();
+  result.interface.get_string = enum_functions<Enum>::get_string;
+  result.interface.give_string_len = enum_functions<Enum>::give_string;
+  return result;
 }
 
 template <class Type>
 value_class make_class(avro_schema_t schema) {
   if constexpr (std::is_same_v<Type, std::string>) {
-    require(is_avro_string(schema) || is_avro_bytes(schema));
+    abort_unless(is_avro_string(schema) || is_avro_bytes(schema));
     return is_avro_string(schema) ? string_class() : bytes_class();
   } else if constexpr (std::is_same_v<Type, bool>) {
-    require(is_avro_boolean(schema));
+    abort_unless(is_avro_boolean(schema));
     return boolean_class();
   } else if constexpr (std::is_same_v<Type, std::int32_t>) {
-    require(is_avro_int32(schema));
+    abort_unless(is_avro_int32(schema));
     return integer_class();
   } else if constexpr (std::is_same_v<Type, std::int64_t>) {
-    require(is_avro_int64(schema));
+    abort_unless(is_avro_int64(schema));
     return long_class();
   } else if constexpr (is_vector<Type>) {
     return make_array_class<Type>(schema);
--- a/src/rpc/protocol_version.h
+++ b/src/rpc/protocol_version.h
@@ -1,9 +1,10 @@
-// The version of the inner protocol.
+// The version of the protocol between nodes (the "inner" protocol of settings and metrics).
 #pragma once
 
 namespace herontally::rpc {
 
-// What this code speaks. A node one version older or newer is understood; any other is refused.
+// The newest version, which this build uses. Nodes one version older or newer are accepted, all others are
+// refused.
 constexpr int protocol_version = 6;
 
 }  // namespace herontally::rpc
--- a/src/rpc/schema_table.cc
+++ b/src/rpc/schema_table.cc
@@ -12,8 +12,8 @@
 
 using json = nlohmann::json;
 
-// Garbage names lengths of any size, and avro-c would ask for them before it looks whether so many bytes are
-// there.
+// avro-c's allocator, with an upper bound. A malformed message can declare any length, and avro-c allocates
+// that much before it checks that so many bytes follow.
 void* allocate(void*, void* old, std::size_t, std::size_t size) {
   constexpr std::size_t max_allocation = 32u << 20;
   if (size == 0) {
@@ -23,7 +23,7 @@
   return size > max_allocation ? nullptr : std::realloc(old, size);
 }
 
-// The schema's text without the fields that came after this version.
+// The schema as JSON, without the fields that were added after this version.
 std::string schema_text(int version) {
   json text = json::parse(schema_inner);
   for (auto& record : text) {
@@ -40,7 +40,7 @@
 schema_table::schema_table(int version) {
   avro_set_allocator(allocate, nullptr);
   std::string text = schema_text(version);
-  // The text is part of the program, so a fault in it is a fault of the build.
+  // The schema is compiled into the program, so a parse error is a build error.
   if (avro_schema_from_json_length(text.data(), text.size(), &schema_) != 0) std::abort();
   for (std::size_t branch = 0; branch < avro_schema_union_size(schema_); ++branch) {
     avro_schema_t record = avro_schema_union_branch(schema_, static_cast<int>(branch));
@@ -55,11 +55,11 @@
   return found == records_.end() ? nullptr : found->second;
 }
 
-const schema_table& schema_of(int version) {
+const schema_table& schema_for_version(int version) {
   static std::map<int, std::unique_ptr<schema_table>> tables;
-  int known = std::min(version, protocol_version);
-  auto& table = tables[known];
-  if (!table) table = std::make_unique<schema_table>(known);
+  int supported = std::min(version, protocol_version);
+  auto& table = tables[supported];
+  if (!table) table = std::make_unique<schema_table>(supported);
   return *table;
 }
 
--- a/tests/generic_codec.cc
+++ b/tests/generic_codec.cc
@@ -20,10 +20,10 @@
   if (!value.is_object()) return false;
   std::size_t count = 0;
   avro_value_get_size(out, &count);
-  for (std::size_t position = 0; position < count; ++position) {
+  for (std::size_t index = 0; index < count; ++index) {
     avro_value_t field;
     const char* name = nullptr;
-    if (avro_value_get_by_index(out, position, &field, &name) != 0) return false;
+    if (avro_value_get_by_index(out, index, &field, &name) != 0) return false;
     auto found = value.find(name);
     if (found == value.end() || !write(&field, *found)) return false;
   }
@@ -37,7 +37,7 @@
     case AVRO_STRING: {
       if (!value.is_string()) return false;
       auto& text = value.get_ref<const std::string&>();
-      // avro-c counts the closing zero in a string's length.
+      // avro-c counts the terminating zero in a string's length.
       return text.find('\0') == std::string::npos &&
              avro_value_set_string_len(out, text.c_str(), text.size() + 1) == 0;
     }
@@ -81,11 +81,11 @@
   std::size_t count = 0;
   if (avro_value_get_size(in, &count) != 0 || count > max_array_length) return false;
   out = record ? json::object() : json::array();
-  for (std::size_t position = 0; position < count; ++position) {
+  for (std::size_t index = 0; index < count; ++index) {
     avro_value_t child;
     const char* name = nullptr;
     json value;
-    if (avro_value_get_by_index(in, position, &child, &name) != 0 || !read(&child, value, depth + 1))
+    if (avro_value_get_by_index(in, index, &child, &name) != 0 || !read(&child, value, depth + 1))
       return false;
     if (record)
       out[name] = std::move(value);
@@ -143,19 +143,19 @@
 // A generic value of one record of the schema's union.
 struct generic_value {
   avro_value_iface_t* type = nullptr;
-  avro_value_t whole{}, record{};
-  bool usable = false;
+  avro_value_t union_value{}, record{};
+  bool found = false;  // the schema has a record of this name
 
   generic_value(const std::string& record_name, int version) {
-    avro_schema_t all = rpc::schema_of(version).whole();
-    type = avro_generic_class_from_schema(all);
-    avro_generic_value_new(type, &whole);
-    for (std::size_t branch = 0; branch < avro_schema_union_size(all) && !usable; ++branch)
-      if (record_name == avro_schema_name(avro_schema_union_branch(all, static_cast<int>(branch))))
-        usable = avro_value_set_branch(&whole, static_cast<int>(branch), &record) == 0;
+    avro_schema_t schema = rpc::schema_for_version(version).union_schema();
+    type = avro_generic_class_from_schema(schema);
+    avro_generic_value_new(type, &union_value);
+    for (std::size_t branch = 0; branch < avro_schema_union_size(schema) && !found; ++branch)
+      if (record_name == avro_schema_name(avro_schema_union_branch(schema, static_cast<int>(branch))))
+        found = avro_value_set_branch(&union_value, static_cast<int>(branch), &record) == 0;
   }
   ~generic_value() {
-    avro_value_decref(&whole);
+    avro_value_decref(&union_value);
     avro_value_iface_decref(type);
   }
   generic_value(const generic_value&) = delete;
@@ -179,10 +179,11 @@
   return failed == 0;
 }
 
+// Adds the fields that were added after `version`, with the schema's defaults.
 void add_defaults(const std::string& record, int version, json& out) {
-  for (auto& described : json::parse(schema_inner)) {
-    if (described["name"] != record) continue;
-    for (auto& field : described["fields"])
+  for (auto& record_schema : json::parse(schema_inner)) {
+    if (record_schema["name"] != record) continue;
+    for (auto& field : record_schema["fields"])
       if (field.value("since", 0) > version) out[field["name"].get<std::string>()] = field["default"];
   }
 }
@@ -191,20 +192,20 @@
 
 std::variant<std::string, codec_error> encode_generic(const std::string& record, const json& value,
                                                       int version) {
-  generic_value made(record, version);
-  if (!made.usable) return codec_error::unknown_record;
-  if (!write(&made.record, value)) return codec_error::mismatch;
-  auto bytes = bytes_of(&made.record);
+  generic_value generic(record, version);
+  if (!generic.found) return codec_error::unknown_record;
+  if (!write(&generic.record, value)) return codec_error::mismatch;
+  auto bytes = bytes_of(&generic.record);
   if (!bytes) return codec_error::mismatch;
   return std::move(*bytes);
 }
 
 std::variant<json, codec_error> decode_generic(const std::string& record, const std::string& bytes,
                                                int version) {
-  generic_value made(record, version);
-  if (!made.usable) return codec_error::unknown_record;
+  generic_value generic(record, version);
+  if (!generic.found) return codec_error::unknown_record;
   json out;
-  if (!read_bytes(bytes, &made.record) || !read(&made.record, out, 0)) return codec_error::malformed;
+  if (!read_bytes(bytes, &generic.record) || !read(&generic.record, out, 0)) return codec_error::malformed;
   add_defaults(record, version, out);
   return out;
 }
--- a/tests/generic_codec.h
+++ b/tests/generic_codec.h
@@ -1,5 +1,7 @@
-// The inner protocol's messages through avro-c's generic values and JSON: slow, and independent of the
-// structs that the product reads and writes in place. The tests compare both.
+// A second codec of the messages between nodes, which converts JSON by means of avro-c's generic values.
+//
+// It is slow, and independent of the code in rpc/ that reads and writes structs directly, so that tests can
+// compare both.
 #pragma once
 #include <nlohmann/json.hpp>
 #include <string>
@@ -13,14 +15,15 @@
 
 enum class codec_error {
   unknown_record,  // the schema has no record of this name
-  mismatch,        // the value lacks a field or has one of a wrong type
-  malformed,       // the bytes are no record of this name
+  mismatch,        // the value lacks a field, or a field has the wrong type
+  malformed,       // the bytes don't hold a record of this name
 };
 
-// The bytes of `value` as a record of the schema as `version` had it.
+// Encodes `value` as the record of this name in the given version of the schema.
 std::variant<std::string, codec_error> encode_generic(const std::string& record, const json& value,
                                                       int version = rpc::protocol_version);
-// The record that `bytes` hold; `version` is the sender's. Fields that came later have the schema's defaults.
+// Decodes the record of this name; `version` is the sender's protocol version. Fields that were added in
+// later versions get the schema's defaults.
 std::variant<json, codec_error> decode_generic(const std::string& record, const std::string& bytes,
                                                int version = rpc::protocol_version);
 
--- a/tests/heap_meter.cc
+++ b/tests/heap_meter.cc
@@ -7,65 +7,67 @@
 #include <new>
 
 #ifdef __SANITIZE_ADDRESS__
-// As <sanitizer/allocator_interface.h> has them, which g++'s package doesn't bring.
+// Declared here because g++'s package doesn't contain <sanitizer/allocator_interface.h>.
 extern "C" {
-int __sanitizer_get_ownership(const volatile void* made);
-std::size_t __sanitizer_get_allocated_size(const volatile void* made);
-int __sanitizer_install_malloc_and_free_hooks(void (*on_made)(const volatile void*, std::size_t),
-                                              void (*on_freed)(const volatile void*));
+int __sanitizer_get_ownership(const volatile void* pointer);
+std::size_t __sanitizer_get_allocated_size(const volatile void* pointer);
+int __sanitizer_install_malloc_and_free_hooks(void (*on_allocate)(const volatile void*, std::size_t),
+                                              void (*on_deallocate)(const volatile void*));
 }
 #endif
 
 namespace herontally::tests {
 
 namespace {
-heap_use counted;
+heap_usage usage;
 
-void count_made(std::size_t bytes) {
-  ++counted.allocations;
-  counted.live += bytes;
-  counted.peak = std::max(counted.peak, counted.live);
+void count_allocation(std::size_t bytes) {
+  ++usage.allocations;
+  usage.live += bytes;
+  usage.peak = std::max(usage.peak, usage.live);
 }
-void count_freed(std::size_t bytes) { counted.live -= std::min(bytes, counted.live); }
+void count_deallocation(std::size_t bytes) { usage.live -= std::min(bytes, usage.live); }
 }  // namespace
 
-heap_use heap_now() { return counted; }
-void reset_heap_peak() { counted.peak = counted.live; }
+heap_usage heap_now() { return usage; }
+void reset_heap_peak() { usage.peak = usage.live; }
 
 #ifdef __SANITIZE_ADDRESS__
 
-// The sanitizer's own allocator stays in place, so that it goes on checking what is freed, and how.
+// Hooks are used in place of replaced operators, so that the sanitizer's allocator still checks what is freed
+// and how.
 namespace {
-void on_made(const volatile void*, std::size_t bytes) { count_made(bytes); }
-void on_freed(const volatile void* made) {
-  if (made && __sanitizer_get_ownership(made)) count_freed(__sanitizer_get_allocated_size(made));
+void on_allocate(const volatile void*, std::size_t bytes) { count_allocation(bytes); }
+void on_deallocate(const volatile void* pointer) {
+  if (pointer && __sanitizer_get_ownership(pointer))
+    count_deallocation(__sanitizer_get_allocated_size(pointer));
 }
-const int hooks = __sanitizer_install_malloc_and_free_hooks(on_made, on_freed);
+const int hooks = __sanitizer_install_malloc_and_free_hooks(on_allocate, on_deallocate);
 }  // namespace
 
 }  // namespace herontally::tests
 
 #else
 
-static void* take(std::size_t bytes) {
-  void* made = malloc(std::max<std::size_t>(bytes, 1));
-  if (!made) throw std::bad_alloc();
-  count_made(malloc_usable_size(made));
-  return made;
+static void* allocate(std::size_t bytes) {
+  void* pointer = malloc(std::max<std::size_t>(bytes, 1));
+  if (!pointer) throw std::bad_alloc();
+  count_allocation(malloc_usable_size(pointer));
+  return pointer;
 }
 
-static void give_back(void* made) {
-  if (made) count_freed(malloc_usable_size(made));
-  free(made);
+static void deallocate(void* pointer) {
+  if (pointer) count_deallocation(malloc_usable_size(pointer));
+  free(pointer);
 }
 
 }  // namespace herontally::tests
 
-void* operator new(std::size_t bytes) { return herontally::tests::take(bytes); }
-void* operator new[](std::size_t bytes) { return herontally::tests::take(bytes); }
-void operator delete(void* made) noexcept { herontally::tests::give_back(made); }
-void operator delete[](void* made) noexcept { herontally::tests::give_back(made); }
-void operator delete(void* made, std::size_t) noexcept { herontally::tests::give_back(made); }
-void operator delete[](void* made, std::size_t) noexcept { herontally::tests::give_back(made); }
+void* operator new(std::size_t bytes) { return herontally::tests::allocate(bytes); }
+void* operator new[](std::size_t bytes) { return herontally::tests::allocate(bytes); }
+void operator delete(void* pointer) noexcept { herontally::tests::deallocate(pointer); }
+void operator delete[](void* pointer) noexcept { herontally::tests::deallocate(pointer); }
+void operator delete(void* pointer, std::size_t) noexcept { herontally::tests::deallocate(pointer); }
+void operator delete[](void* pointer, std::size_t) noexcept { herontally::tests::deallocate(pointer); }
 
 #endif
--- a/tests/heap_meter.h
+++ b/tests/heap_meter.h
@@ -1,15 +1,17 @@
-// What this process holds on its heap, by all that is made with `new`.
+// Counts the heap memory that this process allocates with `new`. Where the AddressSanitizer is on, memory
+// from `malloc` is counted too. Not thread-safe.
 #pragma once
 #include <cstddef>
 
 namespace herontally::tests {
 
-struct heap_use {
-  std::size_t live = 0, peak = 0;
-  std::size_t allocations = 0;  // made so far
+struct heap_usage {
+  std::size_t live = 0, peak = 0;  // in bytes
+  std::size_t allocations = 0;     // made so far
 };
-heap_use heap_now();
-// The peak is counted from here on.
+// The usage so far; `peak` is the highest since the last `reset_heap_peak`.
+heap_usage heap_now();
+// Restarts the peak from the current live size.
 void reset_heap_peak();
 
 }  // namespace herontally::tests
--- a/tests/message_cost_test.cc
+++ b/tests/message_cost_test.cc
@@ -1,4 +1,4 @@
-// What the processor pays for a message: the time of a large fleet goes to its periodic ones.
+// Heap allocations per message. A large fleet spends most of its CPU time on periodic messages.
 #include <catch2/catch.hpp>
 
 #include "heap_meter.h"
@@ -10,27 +10,27 @@
 
 namespace {
 
-std::vector<rpc::member> rows_of(std::size_t count) {
-  std::vector<rpc::member> rows;
-  for (std::size_t number = 0; number < count; ++number)
-    rows.push_back({"agent-" + std::to_string(number), rpc::node_role::agent, "zone-a", "10.0.0.1:7000",
-                    "10.0.0.1:8000", 1700000000000000, rpc::member_status::alive, 3});
-  return rows;
+std::vector<rpc::member> make_members(std::size_t count) {
+  std::vector<rpc::member> members;
+  for (std::size_t index = 0; index < count; ++index)
+    members.push_back({"agent-" + std::to_string(index), rpc::node_role::agent, "zone-a", "10.0.0.1:7000",
+                       "10.0.0.1:8000", 1700000000000000, rpc::member_status::alive, 3});
+  return members;
 }
 
 struct two_nodes {
   simulator::world world{1};
-  rpc::endpoint left, right;
+  rpc::endpoint client, server;
 
-  two_nodes() : left(boot("a"), "a", quiet("a")), right(boot("b"), "b", quiet("b")) {
-    right.listen("10.0.0.2:7000");
-    right.serve<rpc::probe_request>([](rpc::probe_request request) -> runtime::task<rpc::probe_reply> {
+  two_nodes() : client(boot("a"), "a", silent_logger("a")), server(boot("b"), "b", silent_logger("b")) {
+    server.listen("10.0.0.2:7000");
+    server.serve<rpc::probe_request>([](rpc::probe_request request) -> runtime::task<rpc::probe_reply> {
       rpc::probe_reply reply;
       reply.checksum = static_cast<std::int64_t>(request.updates.size());
       co_return reply;
     });
   }
-  static logging::logger quiet(const std::string& name) {
+  static logging::logger silent_logger(const std::string& name) {
     return logging::logger(name, [](auto&, auto&) {});
   }
   runtime::handle boot(const std::string& name) {
@@ -38,38 +38,38 @@
     world.boot(name);
     return world.runtime_of(name);
   }
-  // Heap allocations of all that is done to send a message with so many rows and to take it.
-  std::size_t allocations_with_rows(std::size_t count) {
-    std::optional<std::int64_t> taken;
+  // Heap allocations for sending, delivering and answering a message with `count` membership entries.
+  std::size_t allocations_for_members(std::size_t count) {
+    std::optional<std::int64_t> received;
     auto send = [](rpc::endpoint from, rpc::probe_request request,
                    std::optional<std::int64_t>* out) -> runtime::task<> {
       auto result = co_await from.call("10.0.0.2:7000", std::move(request), second);
       if (auto* reply = rpc::reply_of(result)) *out = reply->checksum;
     };
-    rpc::probe_request request{"", false, rows_of(count), 1};
+    rpc::probe_request request{"", false, make_members(count), 1};
     auto before = tests::heap_now().allocations;
-    world.runtime_of("a").spawn(send(left, std::move(request), &taken));
-    REQUIRE(world.run_until([&] { return taken.has_value(); }, 2 * second));
-    REQUIRE(*taken == static_cast<std::int64_t>(count));
+    world.runtime_of("a").spawn(send(client, std::move(request), &received));
+    REQUIRE(world.run_until([&] { return received.has_value(); }, 2 * second));
+    REQUIRE(*received == static_cast<std::int64_t>(count));
     return tests::heap_now().allocations - before;
   }
 };
 
 }  // namespace
 
-// FAULT of issue 46: days of a large site were given up for their processor time.
-TEST_CASE("FAULT: a row of a message costs no more allocations than its texts, once on each side") {
-  constexpr std::size_t rows = 100, texts_of_a_row = 7, sides = 2;
+// Regression test for issue 46: simulated days of a large site were abandoned because of their CPU time.
+TEST_CASE("FAULT: an entry of a message costs no more allocations than one per string on each side") {
+  constexpr std::size_t members = 100, strings_per_member = 7, sides = 2;
 #ifdef __SANITIZE_ADDRESS__
-  // There the meter also counts what avro-c makes to read a text: its letters, and what owns them.
-  constexpr std::size_t avro_allocations = 2 * texts_of_a_row;
+  // Here the meter also counts avro-c's allocations for reading a string: its characters and their owner.
+  constexpr std::size_t avro_allocations = 2 * strings_per_member;
 #else
   constexpr std::size_t avro_allocations = 0;
 #endif
-  two_nodes pair;
-  pair.allocations_with_rows(rows);
-  auto bare = pair.allocations_with_rows(0), full = pair.allocations_with_rows(rows);
-  auto each = static_cast<double>(full - bare) / rows;
-  INFO("allocations for a row: " << each);
-  REQUIRE(each <= texts_of_a_row * sides + avro_allocations);
+  two_nodes nodes;
+  nodes.allocations_for_members(members);
+  auto empty = nodes.allocations_for_members(0), full = nodes.allocations_for_members(members);
+  auto per_member = static_cast<double>(full - empty) / members;
+  INFO("allocations per entry: " << per_member);
+  REQUIRE(per_member <= strings_per_member * sides + avro_allocations);
 }
--- a/tests/rpc_version_test.cc
+++ b/tests/rpc_version_test.cc
@@ -1,4 +1,5 @@
-// The inner protocol between versions, and calendars on a whole simulated site.
+// Calls between nodes of different protocol versions, and scheduled table changes (calendars) on a simulated
+// site.
 #include <catch2/catch.hpp>
 
 #include "rpc/endpoint.h"
@@ -11,48 +12,50 @@
 
 constexpr std::int64_t payload = 4711;
 
-// Asks a node that speaks one version from a node that speaks another.
-std::variant<std::int64_t, rpc::error> ask_across(int asker, int answerer, double* dropped) {
+// Calls a node of version `server_version` from a node of version `client_version`. Sets `dropped` to the
+// number of messages that the called node refused because of their version.
+std::variant<std::int64_t, rpc::error> call_across_versions(int client_version, int server_version,
+                                                            double* dropped) {
   simulator::world world(1);
   for (auto* name : {"a", "b"}) {
     world.machine(name, "z");
     world.boot(name);
   }
-  logging::logger lines("b", [](auto&, auto&) {});
-  rpc::endpoint left(world.runtime_of("a"), "a", logging::logger("a", [](auto&, auto&) {}));
-  rpc::endpoint right(world.runtime_of("b"), "b", lines);
-  left.set_version(asker);
-  right.set_version(answerer);
-  right.listen("10.0.0.2:7000");
-  right.serve<rpc::config_committed_request>(
-      [](rpc::config_committed_request word) -> runtime::task<rpc::config_committed_reply> {
-        co_return rpc::config_committed_reply{word.revision};
+  logging::logger server_logger("b", [](auto&, auto&) {});
+  rpc::endpoint client(world.runtime_of("a"), "a", logging::logger("a", [](auto&, auto&) {}));
+  rpc::endpoint server(world.runtime_of("b"), "b", server_logger);
+  client.set_version(client_version);
+  server.set_version(server_version);
+  server.listen("10.0.0.2:7000");
+  server.serve<rpc::config_committed_request>(
+      [](rpc::config_committed_request request) -> runtime::task<rpc::config_committed_reply> {
+        co_return rpc::config_committed_reply{request.revision};
       });
   std::optional<std::variant<std::int64_t, rpc::error>> result;
-  auto ask = [](rpc::endpoint endpoint,
-                std::optional<std::variant<std::int64_t, rpc::error>>* out) -> runtime::task<> {
-    rpc::config_committed_request word{payload, ""};
-    auto answer = co_await endpoint.call("10.0.0.2:7000", std::move(word), second);
-    if (auto* reply = std::get_if<rpc::config_committed_reply>(&answer))
+  auto call = [](rpc::endpoint endpoint,
+                 std::optional<std::variant<std::int64_t, rpc::error>>* out) -> runtime::task<> {
+    rpc::config_committed_request request{payload, ""};
+    auto outcome = co_await endpoint.call("10.0.0.2:7000", std::move(request), second);
+    if (auto* reply = std::get_if<rpc::config_committed_reply>(&outcome))
       *out = reply->revision;
     else
-      *out = std::get<rpc::error>(answer);
+      *out = std::get<rpc::error>(outcome);
   };
-  world.runtime_of("a").spawn(ask(left, &result));
+  world.runtime_of("a").spawn(call(client, &result));
   REQUIRE(world.run_until([&] { return result.has_value(); }, 3 * second));
-  *dropped = lines.value("herontally_inner_dropped_total{reason=\"version\"}");
+  *dropped = server_logger.value("herontally_inner_dropped_total{reason=\"version\"}");
   return *result;
 }
 
 }  // namespace
 
-TEST_CASE("a neighbouring version is understood, a further one is refused at once and counted") {
-  for (int asker = 1; asker <= 4; ++asker)
-    for (int answerer = 1; answerer <= 4; ++answerer) {
+TEST_CASE("an adjacent protocol version is accepted, any other is refused at once and counted") {
+  for (int client_version = 1; client_version <= 4; ++client_version)
+    for (int server_version = 1; server_version <= 4; ++server_version) {
       double dropped = 0;
-      auto result = ask_across(asker, answerer, &dropped);
-      INFO(asker << " asks " << answerer);
-      if (std::abs(asker - answerer) <= 1) {
+      auto result = call_across_versions(client_version, server_version, &dropped);
+      INFO(client_version << " calls " << server_version);
+      if (std::abs(client_version - server_version) <= 1) {
         REQUIRE(std::get<std::int64_t>(result) == payload);
         REQUIRE(dropped == 0);
       } else {
@@ -62,52 +65,51 @@
     }
 }
 
-TEST_CASE("a calendar switches its table once for each of its times, also when the duty moves") {
+TEST_CASE("a calendar switches its table once for each scheduled time, also when the owner changes") {
   simulator::world world(21);
-  simulator::oracle judge(world);
-  simulator::site_options choice;
-  choice.partners = {simulator::swanreach(1, 1)};
-  simulator::site place(world, judge, choice);
-  REQUIRE(place.begin());
+  simulator::oracle oracle(world);
+  simulator::site_options options;
+  options.partners = {simulator::swanreach(1, 1)};
+  simulator::site site(world, oracle, options);
+  REQUIRE(site.begin());
   std::int64_t version = 0, before = 0;
   std::string table;
-  auto look = [](simulator::site* own, std::string core, std::int64_t* version, std::string* table,
-                 bool* done) -> runtime::task<> {
-    auto now = co_await own->operate(core, "GET", "/v1/desired", "", "");
-    if (now.status == 200) {
-      *version = now.body["version"];
-      *table = now.body["desired"]["partners"]["swanreach"]["programs"]["exchange"]["table"];
+  auto read_config = [](simulator::site* target, std::string core, std::int64_t* version, std::string* table,
+                        bool* done) -> runtime::task<> {
+    auto response = co_await target->operate(core, "GET", "/v1/desired", "", "");
+    if (response.status == 200) {
+      *version = response.body["version"];
+      *table = response.body["desired"]["partners"]["swanreach"]["programs"]["exchange"]["table"];
     }
     *done = true;
   };
-  auto see = [&](const std::string& core) {
+  auto refresh = [&](const std::string& core) {
     bool done = false;
-    place.callers().spawn(look(&place, core, &version, &table, &done));
+    site.callers().spawn(read_config(&site, core, &version, &table, &done));
     REQUIRE(world.run_until([&] { return done; }, 10 * second));
   };
-  see("core-1");
-  auto apply = [](simulator::site* own, std::int64_t expected, bool* done) -> runtime::task<> {
-    nlohmann::json next = own->document(1);
+  refresh("core-1");
+  auto apply = [](simulator::site* target, std::int64_t expected, bool* done) -> runtime::task<> {
+    nlohmann::json next = target->document(1);
     auto& partner = next["partners"]["swanreach"];
     partner["tables"]["night"] = nlohmann::json::object();
     partner["calendars"]["c"] = {{"cron", "* * * * *"}, {"program", "exchange"}, {"table", "night"}};
     auto result =
-        co_await own->operate("core-1", "PUT", "/v1/desired", next.dump(), std::to_string(expected));
+        co_await target->operate("core-1", "PUT", "/v1/desired", next.dump(), std::to_string(expected));
     *done = result.status == 200;
   };
   bool applied = false;
-  place.callers().spawn(apply(&place, version, &applied));
+  site.callers().spawn(apply(&site, version, &applied));
   REQUIRE(world.run_until([&] { return applied; }, 10 * second));
-  see("core-1");
+  refresh("core-1");
   before = version;
-  // Two full minutes, and the duty's holder dies in the middle of them.
+  // At least two minutes begin in this time, and the core that runs the calendars is killed in between.
   world.run_for(50 * second);
   world.kill("core-1", simulator::disk_loss::none, true);
   world.run_for(80 * second);
-  see("core-2");
+  refresh("core-2");
   REQUIRE(table == "night");
-  // The minute that was under way when it was applied, and those that began since: no more than one change
-  // each.
+  // At most one change for the minute in which the calendar was applied and for each minute that began since.
   REQUIRE(version - before >= 2);
   REQUIRE(version - before <= 3);
 }
