--- a/src/membership/failure_detector.cc
+++ b/src/membership/failure_detector.cc
@@ -1,5 +1,6 @@
-// SWIM's failure detector: direct probes in turn, indirect ones before a member is suspected, and a full
-// exchange with some node now and then.
+// The failure detector of SWIM: probes one member per period, probes it indirectly through other members
+// before it is suspected, and periodically exchanges the whole member list with a random node. It doesn't
+// decide which updates win; see member_list.cc.
 #include <algorithm>
 
 #include "membership/member_list_state.h"
@@ -11,15 +12,16 @@
 namespace {
 
 constexpr microseconds full_probe_period = 2 * second;
-// Updates alone reach a newcomer slowly: at first it asks for everything more often.
-constexpr microseconds newcomer_time = 5 * second;
-constexpr microseconds newcomer_full_probe_period = 400 * millisecond;
+// Piggybacked updates alone reach a node that has just started slowly, so it runs full exchanges more often
+// at first.
+constexpr microseconds startup_duration = 5 * second;
+constexpr microseconds startup_full_probe_period = 400 * millisecond;
 constexpr microseconds jitter = 40 * millisecond;
-// How much longer than its own timeout a third party's answer is waited for.
+// How much longer than the third party's own probe timeout its reply is waited for.
 constexpr microseconds reply_grace = 50 * millisecond;
 
-task<> ask_third_party(rpc::endpoint endpoint, std::string address, std::string target, microseconds timeout,
-                       runtime::mailbox<bool> answers) {
+task<> request_indirect_probe(rpc::endpoint endpoint, std::string address, std::string target,
+                              microseconds timeout, runtime::mailbox<bool> answers) {
   rpc::probe_request request{std::move(target), false, {}, 0};
   auto result = co_await endpoint.call(std::move(address), std::move(request), timeout);
   auto* reply = std::get_if<rpc::probe_reply>(&result);
@@ -28,14 +30,14 @@
 
 }  // namespace
 
-std::optional<member> member_list::state::next_target() {
-  // Every member once in a turn, each turn in an order of its own.
-  for (int turn = 0; turn < 2; ++turn) {
+std::optional<member> member_list::state::next_probe_target() {
+  // Round-robin: every member once per round, each round in a new random order.
+  for (int round = 0; round < 2; ++round) {
     while (!probe_order.empty()) {
       auto name = probe_order.back();
       probe_order.pop_back();
       auto found = entries.find(name);
-      // An entry that an agent keeps for its proxy is reached at the agent's own address.
+      // An agent's entry for its proxy has the agent's own address, so probing it would probe this node.
       bool other = found != entries.end() && found->second.member.inner != self.inner;
       if (other && found->second.member.is_live()) return found->second.member;
     }
@@ -54,7 +56,7 @@
     bool reached = co_await here->probe(request.target, false, here->options.direct_timeout);
     reply.reached = reached;
   }
-  // Equal lists are not sent: they are nearly always equal.
+  // The lists are nearly always equal, so the whole list is sent only if the checksums differ.
   reply.checksum = here->checksum();
   reply.updates = here->choose_updates(request.full && request.checksum != reply.checksum);
   co_return reply;
@@ -68,23 +70,24 @@
   if (!reply) co_return false;
   here->apply_all(reply->updates);
   if (!full || reply->checksum == here->checksum()) co_return true;
-  // We have applied all that it knows, so that it lacks something of ours.
-  rpc::probe_request rest{"", false, here->updates_beyond(reply->updates), 0};
-  if (rest.updates.empty()) co_return true;
-  auto taken = co_await here->endpoint.call(std::move(address), std::move(rest), timeout);
-  co_return std::holds_alternative<rpc::probe_reply>(taken);
+  // All of the peer's updates are applied here, so a remaining difference is something that the peer lacks.
+  rpc::probe_request remaining{"", false, here->updates_beyond(reply->updates), 0};
+  if (remaining.updates.empty()) co_return true;
+  auto delivery = co_await here->endpoint.call(std::move(address), std::move(remaining), timeout);
+  co_return std::holds_alternative<rpc::probe_reply>(delivery);
 }
 
-// Perhaps only our own way to it is cut: others are asked before it is suspected.
+// The path between this node and the target may be the only one that fails, so other members probe the target
+// before it is suspected.
 task<bool> member_list::state::probe_indirectly(member target) {
   auto here = shared_from_this();
   auto runtime = here->endpoint.runtime();
   auto limit = static_cast<std::size_t>(here->options.indirect_probes);
-  auto third_parties = here->draw_alive(limit, target.name);
+  auto third_parties = here->random_alive_addresses(limit, target.name);
   runtime::mailbox<bool> answers(runtime);
   auto timeout = here->options.indirect_timeout;
   for (auto& address : third_parties)
-    runtime.spawn(ask_third_party(here->endpoint, address, target.inner, timeout, answers));
+    runtime.spawn(request_indirect_probe(here->endpoint, address, target.inner, timeout, answers));
   for (std::size_t received = 0; received < third_parties.size(); ++received) {
     auto reached = co_await answers.pop(timeout + reply_grace);
     if (reached && *reached) co_return true;
@@ -99,36 +102,37 @@
   if (!reached) here->suspect(target.name, target.incarnation);
 }
 
-// Seeds and the dead are tried too, so that two halves of a partition find together again.
-task<> member_list::state::probe_someone_fully(std::optional<member> target) {
+// Seeds and dead members are tried too, so that the two sides of a partition merge once it heals.
+task<> member_list::state::exchange_with_random_peer(std::optional<member> target) {
   auto here = shared_from_this();
   auto runtime = here->endpoint.runtime();
   std::string address = here->seeds[here->next_seed_ % here->seeds.size()];
-  bool draws_seed = target && runtime.draw(here->seeds.size() + here->names.size()) < here->seeds.size();
-  if (!target || draws_seed)
+  bool use_seed = target && runtime.draw(here->seeds.size() + here->names.size()) < here->seeds.size();
+  if (!target || use_seed)
     ++here->next_seed_;
   else
-    address = here->draw_address();
+    address = here->random_address();
   if (address.empty()) co_return;
   if (address != here->self.inner) co_await here->probe(address, true, here->options.direct_timeout);
 }
 
-task<> member_list::state::probe_forever() {
+task<> member_list::state::run_failure_detector() {
   auto here = shared_from_this();
   auto runtime = here->endpoint.runtime();
-  microseconds next_full = 0, begun = runtime.now();
+  microseconds next_full_probe = 0, started_at = runtime.now();
   while (!here->leaving) {
-    here->expire();
-    auto target = here->next_target();
+    here->expire_members();
+    auto target = here->next_probe_target();
     if (target) runtime.spawn(here->probe_member(*target));
     auto now = runtime.now();
-    if (!target || now >= next_full) {
-      next_full = now + (now - begun < newcomer_time ? newcomer_full_probe_period : full_probe_period);
-      co_await here->probe_someone_fully(target);
+    if (!target || now >= next_full_probe) {
+      next_full_probe =
+          now + (now - started_at < startup_duration ? startup_full_probe_period : full_probe_period);
+      co_await here->exchange_with_random_peer(target);
     }
     here->count_examined();
-    auto drawn = static_cast<microseconds>(runtime.draw(jitter));
-    co_await runtime.sleep(here->options.period - jitter / 2 + drawn);
+    auto random_delay = static_cast<microseconds>(runtime.draw(jitter));
+    co_await runtime.sleep(here->options.period - jitter / 2 + random_delay);
   }
 }
 
--- a/src/membership/member_list.cc
+++ b/src/membership/member_list.cc
@@ -14,17 +14,18 @@
 bool supersedes(const member& update, const member& known) {
   if (update.incarnation != known.incarnation) return update.incarnation > known.incarnation;
   if (update.refutations != known.refutations) return update.refutations > known.refutations;
-  // The statuses are declared from the best to the worst.
+  // The enum declares the statuses in order of severity: alive, suspect and then the ended ones.
   return update.status > known.status;
 }
 
 namespace {
 
-// More often than any update is passed on.
-constexpr int fully_spread = 1 << 20;
+// A `times_sent` above every transmission limit: the update isn't sent any more.
+constexpr int no_more_transmissions = 1 << 20;
 
-// An update is passed on this often, which reaches everybody with near certainty.
-int times_to_send(std::size_t members) {
+// How often each node passes an update on. A multiple of log2 of the number of members reaches every member
+// with near certainty.
+int transmissions_per_update(std::size_t members) {
   return 3 * static_cast<int>(std::ceil(std::log2(static_cast<double>(members + 2))));
 }
 
@@ -62,47 +63,49 @@
   index(position->first, known);
 }
 
-void member_list::state::index(const std::string& name, entry& put) {
-  put.checksum = checksum_of(put.member);
-  live_checksum += put.checksum;
-  pending.insert({put.times_sent, name});
-  by_version[put.version] = name;
-  if (put.member.status == member_status::alive)
+void member_list::state::index(const std::string& name, entry& updated) {
+  updated.checksum = checksum_of(updated.member);
+  live_checksum += updated.checksum;
+  pending.insert({updated.times_sent, name});
+  by_version[updated.version] = name;
+  if (updated.member.status == member_status::alive)
     not_alive.erase(name);
   else
     not_alive.insert(name);
 }
 
-void member_list::state::forget(const std::string& name) {
+void member_list::state::remove(const std::string& name) {
   auto found = entries.find(name);
   if (found == entries.end()) return;
-  auto& gone = found->second;
-  live_checksum -= gone.checksum;
-  pending.erase({gone.times_sent, name});
+  auto& removed = found->second;
+  live_checksum -= removed.checksum;
+  pending.erase({removed.times_sent, name});
   not_alive.erase(name);
-  by_version.erase(gone.version);
-  // The last name takes the free place.
-  entries.at(names.back()).position = gone.position;
-  std::swap(names[gone.position], names.back());
+  by_version.erase(removed.version);
+  // The last name moves into the freed position, so that a removal doesn't shift the others.
+  entries.at(names.back()).position = removed.position;
+  std::swap(names[removed.position], names.back());
   names.pop_back();
   entries.erase(found);
   ++version;
 }
 
-// Somebody suspects this incarnation of ours, which goes on: say so with a higher number.
+// If another member reports this running incarnation as not alive, a higher refutation number overrides it.
 void member_list::state::refute(const member& suspicion) {
-  bool concerns_us = suspicion.incarnation == self.incarnation && suspicion.status != member_status::alive &&
-                     suspicion.refutations >= self.refutations;
-  if (!concerns_us || leaving) return;
+  bool concerns_self = suspicion.incarnation == self.incarnation &&
+                       suspicion.status != member_status::alive && suspicion.refutations >= self.refutations;
+  if (!concerns_self || leaving) return;
   self.refutations = suspicion.refutations + 1;
   put(self);
 }
 
 void member_list::state::apply(const member& update) {
-  bool readable = update.status != member_status::unrecognized && update.role != rpc::node_role::unrecognized;
-  if (!readable) {
+  bool recognized =
+      update.status != member_status::unrecognized && update.role != rpc::node_role::unrecognized;
+  if (!recognized) {
     endpoint.logger().count("herontally_members_unrecognized_total");
-    endpoint.logger().warn("update of a member that this version can't read", {{"member", update.name}});
+    endpoint.logger().warn("ignored a member update with an unrecognized status or role",
+                           {{"member", update.name}});
     return;
   }
   if (update.name == self.name) return refute(update);
@@ -120,18 +123,18 @@
 
 void member_list::state::apply_all(const std::vector<member>& updates) {
   bool full_exchange = updates.size() > max_updates_per_message;
-  fit_pending_to_size();
+  raise_transmission_limit();
   for (auto& update : updates) {
     auto before = version;
     apply(update);
-    if (full_exchange && version != before && update.name != self.name) stop_spreading(update.name);
+    if (full_exchange && version != before && update.name != self.name) stop_disseminating(update.name);
   }
 }
 
-void member_list::state::stop_spreading(const std::string& name) {
+void member_list::state::stop_disseminating(const std::string& name) {
   auto& known = entries.at(name);
   pending.erase({known.times_sent, name});
-  known.times_sent = fully_spread;
+  known.times_sent = no_more_transmissions;
 }
 
 void member_list::state::suspect(const std::string& name, std::int64_t incarnation) {
@@ -143,10 +146,10 @@
   apply(update);
 }
 
-void member_list::state::expire() {
+void member_list::state::expire_members() {
   auto now = endpoint.runtime().now();
   std::vector<member> dead;
-  std::vector<std::string> forgotten;
+  std::vector<std::string> expired;
   examined += not_alive.size();
   for (auto& name : not_alive) {
     auto& known = entries.at(name);
@@ -155,9 +158,9 @@
       dead.push_back(known.member);
       dead.back().status = member_status::dead;
     }
-    if (!known.member.is_live() && age > options.retention) forgotten.push_back(name);
+    if (!known.member.is_live() && age > options.retention) expired.push_back(name);
   }
-  for (auto& name : forgotten) forget(name);
+  for (auto& name : expired) remove(name);
   for (auto& update : dead) apply(update);
 }
 
@@ -168,15 +171,15 @@
   examined = 0;
 }
 
-// With more members an update has to be passed on more often, also one that had spread far enough among
-// fewer.
-void member_list::state::fit_pending_to_size() {
-  int times = times_to_send(entries.size());
-  if (times <= max_times_sent) return;
-  max_times_sent = times;
+// When the list grows, each update needs more transmissions. Updates that had reached the limit of a smaller
+// list become pending again.
+void member_list::state::raise_transmission_limit() {
+  int limit = transmissions_per_update(entries.size());
+  if (limit <= max_transmissions) return;
+  max_transmissions = limit;
   examined += entries.size();
   for (auto& [name, each] : entries)
-    if (each.times_sent < times) pending.insert({each.times_sent, name});
+    if (each.times_sent < limit) pending.insert({each.times_sent, name});
 }
 
 std::vector<member> member_list::state::all_updates() {
@@ -185,14 +188,14 @@
   pending.clear();
   for (auto& [name, each] : entries) {
     ++each.times_sent;
-    if (each.times_sent < max_times_sent) pending.insert({each.times_sent, name});
+    if (each.times_sent < max_transmissions) pending.insert({each.times_sent, name});
     updates.push_back(each.member);
   }
   return updates;
 }
 
 std::vector<member> member_list::state::choose_updates(bool full) {
-  fit_pending_to_size();
+  raise_transmission_limit();
   if (full) return all_updates();
   std::vector<pending_update> chosen;
   for (auto next = pending.begin(); next != pending.end() && chosen.size() < max_updates_per_message; ++next)
@@ -204,7 +207,7 @@
     updates.push_back(known.member);
     pending.erase(each);
     ++known.times_sent;
-    if (known.times_sent < max_times_sent) pending.insert({known.times_sent, each.name});
+    if (known.times_sent < max_transmissions) pending.insert({known.times_sent, each.name});
   }
   return updates;
 }
@@ -221,31 +224,32 @@
   return updates;
 }
 
-std::string member_list::state::draw_address() {
-  auto& drawn = entries.at(names[endpoint.runtime().draw(names.size())]);
-  return drawn.member.name == self.name ? std::string() : drawn.member.inner;
+std::string member_list::state::random_address() {
+  auto& chosen = entries.at(names[endpoint.runtime().draw(names.size())]);
+  return chosen.member.name == self.name ? std::string() : chosen.member.inner;
 }
 
-std::vector<std::string> member_list::state::draw_alive(std::size_t limit, const std::string& except) {
-  // Where few are alive, some draws find none of them.
-  constexpr std::size_t max_draws_each = 8;
-  std::set<std::string> drawn;
-  for (std::size_t draw = 0; draw < limit * max_draws_each && drawn.size() < limit; ++draw) {
+std::vector<std::string> member_list::state::random_alive_addresses(std::size_t limit,
+                                                                    const std::string& except) {
+  // Draws are random over all entries, so several may be needed for each address where few members are alive.
+  constexpr std::size_t max_draws_per_address = 8;
+  std::set<std::string> chosen;
+  for (std::size_t draw = 0; draw < limit * max_draws_per_address && chosen.size() < limit; ++draw) {
     auto& name = names[endpoint.runtime().draw(names.size())];
     bool other = name != self.name && name != except;
-    if (other && !not_alive.contains(name)) drawn.insert(name);
+    if (other && !not_alive.contains(name)) chosen.insert(name);
     ++examined;
   }
   std::vector<std::string> addresses;
-  addresses.reserve(drawn.size());
-  for (auto& name : drawn) addresses.push_back(entries.at(name).member.inner);
+  addresses.reserve(chosen.size());
+  for (auto& name : chosen) addresses.push_back(entries.at(name).member.inner);
   return addresses;
 }
 
 member_list::member_list(rpc::endpoint endpoint, member self, std::vector<std::string> seeds,
                          probe_options options)
     : state_(std::make_shared<state>(std::move(endpoint), std::move(self), std::move(seeds), options)) {
-  // A node's incarnations are ordered by the time at which they began.
+  // The wall clock orders the incarnations of a node by their start.
   if (state_->self.incarnation == 0) state_->self.incarnation = state_->endpoint.runtime().wall();
   state_->first_version = state_->version = state_->self.incarnation;
   state_->put(state_->self);
@@ -255,7 +259,7 @@
   auto self = state_;
   self->endpoint.serve<rpc::probe_request>(
       [self](rpc::probe_request request) { return self->serve_probe(std::move(request)); });
-  self->endpoint.runtime().spawn(self->probe_forever());
+  self->endpoint.runtime().spawn(self->run_failure_detector());
 }
 
 task<> member_list::leave() {
@@ -322,7 +326,7 @@
   try {
     return document.get<std::vector<member>>();
   } catch (const nlohmann::json::exception&) {
-    // A list that can't be read counts as none.
+    // An unreadable list counts as an empty one.
     return {};
   }
 }
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -1,4 +1,5 @@
-// Membership: nodes find each other from seeds, lose the dead and keep the living.
+// Membership: nodes discover each other through seeds, remove dead members, and keep members that are alive
+// through one-way and full partitions.
 #include <catch2/catch.hpp>
 
 #include "membership/member_list.h"
@@ -8,11 +9,11 @@
 
 namespace {
 
-struct fleet {
+struct cluster {
   simulator::world world;
   std::map<std::string, std::shared_ptr<membership::member_list>> nodes;
   std::vector<std::string> seeds;
-  explicit fleet(std::uint64_t seed) : world(seed) {}
+  explicit cluster(std::uint64_t seed) : world(seed) {}
 
   static std::string address(int number) { return "10.0.0." + std::to_string(number) + ":7000"; }
   void boot(int number) {
@@ -33,8 +34,8 @@
     for (int number = 1; number <= 3; ++number) seeds.push_back(address(number));
     for (int number = 1; number <= count; ++number) boot(number);
   }
-  // Every node that is up believes exactly these to be alive.
-  bool agree(std::size_t count) {
+  // Whether every node that is up and not frozen lists exactly this many live members.
+  bool all_list_live(std::size_t count) {
     for (auto& [name, known] : nodes)
       if (world.find(name).up && !world.find(name).frozen &&
           known->live(rpc::node_role::agent).size() != count)
@@ -45,50 +46,50 @@
 
 }  // namespace
 
-TEST_CASE("nodes find each other from three seeds, and soon") {
+TEST_CASE("24 nodes discover each other through three seeds within 1.5 seconds") {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-    fleet site(seed);
+    cluster site(seed);
     site.boot_all(24);
-    REQUIRE(site.world.run_until([&] { return site.agree(24); }, 3 * runtime::second));
+    REQUIRE(site.world.run_until([&] { return site.all_list_live(24); }, 3 * runtime::second));
     INFO("seed " << seed << " took " << site.world.now());
     REQUIRE(site.world.now() < 1500 * runtime::millisecond);
   }
 }
 
-TEST_CASE("a dead node is removed, a frozen one comes back, a cut one is vouched for") {
+TEST_CASE("dead nodes are removed, frozen ones return, and indirect probes keep unreachable ones alive") {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-    fleet site(seed);
+    cluster site(seed);
     site.boot_all(12);
-    REQUIRE(site.world.run_until([&] { return site.agree(12); }, 3 * runtime::second));
+    REQUIRE(site.world.run_until([&] { return site.all_list_live(12); }, 3 * runtime::second));
     site.world.kill("n7", simulator::disk_loss::none, true);
-    REQUIRE(site.world.run_until([&] { return site.agree(11); }, 8 * runtime::second));
+    REQUIRE(site.world.run_until([&] { return site.all_list_live(11); }, 8 * runtime::second));
     site.boot(7);
-    REQUIRE(site.world.run_until([&] { return site.agree(12); }, 4 * runtime::second));
+    REQUIRE(site.world.run_until([&] { return site.all_list_live(12); }, 4 * runtime::second));
     site.world.freeze("n5");
-    REQUIRE(site.world.run_until([&] { return site.agree(11); }, 8 * runtime::second));
+    REQUIRE(site.world.run_until([&] { return site.all_list_live(11); }, 8 * runtime::second));
     site.world.wake("n5");
-    REQUIRE(site.world.run_until([&] { return site.agree(12); }, 4 * runtime::second));
-    // Only one way is cut: second opinions keep both alive.
+    REQUIRE(site.world.run_until([&] { return site.all_list_live(12); }, 4 * runtime::second));
+    // Only the path between n2 and n3 is cut: indirect probes through the others keep both alive.
     site.world.cut("n2", "n3");
     site.world.cut("n3", "n2");
-    bool doubted = site.world.run_until([&] { return !site.agree(12); }, 10 * runtime::second);
-    REQUIRE_FALSE(doubted);
+    bool disagreed = site.world.run_until([&] { return !site.all_list_live(12); }, 10 * runtime::second);
+    REQUIRE_FALSE(disagreed);
   }
 }
 
-TEST_CASE("two halves of a split find together again") {
-  fleet site(3);
+TEST_CASE("two sides of a partition merge after it heals") {
+  cluster site(3);
   site.boot_all(10);
-  REQUIRE(site.world.run_until([&] { return site.agree(10); }, 3 * runtime::second));
-  auto both = [&](auto change) {
+  REQUIRE(site.world.run_until([&] { return site.all_list_live(10); }, 3 * runtime::second));
+  auto for_each_path = [&](auto change) {
     for (int left = 1; left <= 5; ++left)
       for (int right = 6; right <= 10; ++right) {
         change("n" + std::to_string(left), "n" + std::to_string(right));
         change("n" + std::to_string(right), "n" + std::to_string(left));
       }
   };
-  both([&](auto from, auto to) { site.world.cut(from, to); });
-  REQUIRE(site.world.run_until([&] { return site.agree(5); }, 15 * runtime::second));
-  both([&](auto from, auto to) { site.world.heal(from, to); });
-  REQUIRE(site.world.run_until([&] { return site.agree(10); }, 10 * runtime::second));
+  for_each_path([&](auto from, auto to) { site.world.cut(from, to); });
+  REQUIRE(site.world.run_until([&] { return site.all_list_live(5); }, 15 * runtime::second));
+  for_each_path([&](auto from, auto to) { site.world.heal(from, to); });
+  REQUIRE(site.world.run_until([&] { return site.all_list_live(10); }, 10 * runtime::second));
 }
