--- a/src/membership/failure_detector.cc
+++ b/src/membership/failure_detector.cc
@@ -17,7 +17,7 @@
 constexpr microseconds startup_duration = 5 * second;
 constexpr microseconds startup_full_probe_period = 400 * millisecond;
 constexpr microseconds jitter = 40 * millisecond;
-// How much longer than the third party's own probe timeout its reply is waited for.
+// How much longer than the timeout of an indirect probe request its result is waited for.
 constexpr microseconds reply_grace = 50 * millisecond;
 
 task<> request_indirect_probe(rpc::endpoint endpoint, std::string address, std::string target,
--- a/src/membership/member_list.cc
+++ b/src/membership/member_list.cc
@@ -118,7 +118,8 @@
   if (on_change) on_change(update);
   if (!endpoint.logger().logs_info()) return;
   endpoint.logger().info(
-      "member", {{"member", update.name}, {"status", rpc::wire_name(update.status)}, {"zone", update.zone}});
+      "member changed",
+      {{"member", update.name}, {"status", rpc::wire_name(update.status)}, {"zone", update.zone}});
 }
 
 void member_list::state::apply_all(const std::vector<member>& updates) {
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -1,5 +1,5 @@
-// Membership: nodes discover each other through seeds, remove dead members, and keep members that are alive
-// through one-way and full partitions.
+// Membership: nodes discover each other through seeds, remove dead members, keep a member that only one node
+// can't reach, and merge their lists after a partition.
 #include <catch2/catch.hpp>
 
 #include "membership/member_list.h"
