--- a/src/configuration/record.cc
+++ b/src/configuration/record.cc
@@ -6,7 +6,8 @@
 
 namespace herontally::configuration {
 
-// What came later than the first version of this record is left out while it is empty, and may be missing.
+// Fields that were added after the first version of the record format are omitted while they are empty, and
+// are optional on reading.
 void to_json(json& document, const record& from) {
   document = {{"revision", from.revision},           {"version", from.version},
               {"document", from.document},           {"edges", from.edges},
@@ -42,7 +43,7 @@
   try {
     return document->get<record>();
   } catch (const json::exception&) {
-    // Another version's record that can't be read counts as none.
+    // A record of another version that can't be read counts as missing.
     return std::nullopt;
   }
 }
@@ -58,7 +59,8 @@
 }
 
 record next_revision(const record& content, std::optional<json> document, const std::string& change_id) {
-  // A change whose answer was lost is recognised here, as long as fewer than these came after it.
+  // A retry of a change whose reply was lost is recognized by its id, as long as fewer than this many changes
+  // followed it.
   constexpr std::size_t max_change_ids = 64;
   record next = content;
   next.revision += 1;
@@ -77,7 +79,7 @@
   next.operator_source = std::move(operator_source);
   next.routing = table;
   next.applied_changes.insert(next.applied_changes.begin(), applied_change{digest, table.version});
-  // An operator gives a call up long before this many others could come after it.
+  // An operator stops retrying a call long before this many others can follow it.
   if (next.applied_changes.size() > max_applied_changes) next.applied_changes.resize(max_applied_changes);
   return next;
 }
--- a/src/configuration/record.h
+++ b/src/configuration/record.h
@@ -1,7 +1,8 @@
-// The configuration as the cores' register keeps it: the operators' document, the edges that must have it in
-// force, and what tells a repeated change from a new one.
+// The configuration record that the cores keep in their replicated register: the operators' document, the
+// edges that must have it in force, and the ids that tell a repeated change from a new one. The functions
+// here only compute the next record; the caller writes it to the register.
 //
-// Source: docs/control.md. JSON keys are part of the stored data and stay as they are.
+// Design: docs/control.md. The JSON keys are part of the stored data and must not change.
 #pragma once
 #include <nlohmann/json.hpp>
 #include <optional>
@@ -16,11 +17,11 @@
 
 using json = nlohmann::json;
 
-// The register that holds the record.
+// Key of the register that holds the record.
 constexpr const char* config_key = "desired";
 
-// A change that was applied: a digest of the operator's call, and the version that it made. A call that is
-// repeated after a lost answer is recognised by it.
+// A routing change that was applied: the digest of the operator's call and the version of the routing table
+// that it produced. Recognizes a call that is retried after its reply was lost.
 struct applied_change {
   std::string digest;
   std::int64_t version = 0;
@@ -32,21 +33,22 @@
   }
 };
 
-// How many applied changes a record remembers. A change that was applied is sent again for as long as its
-// answer stays away, while up to eight others are under way beside it; sixteen rounds of eight cover that.
+// How many applied changes a record keeps. An applied change is retried until its reply arrives, while up to
+// eight others are in progress concurrently; 128 covers sixteen rounds of eight.
 constexpr std::size_t max_applied_changes = 128;
 
-// `version` counts the operators' changes, `revision` every change, so that distribution has one number to
-// follow.
+// `version` counts the changes of the operators' document and `revision` counts every change, so that
+// distribution can compare records by one number.
 struct record {
   std::int64_t revision = 0, version = 0;
   json document = json::object();
-  // Edge machines whose majority must have a change in force before it is acknowledged. While the set
-  // changes, a majority of the previous one is needed too.
+  // The edge machines, a majority of which must have a change in force before it is acknowledged. While the
+  // set changes, a majority of the previous set is required as well.
   std::vector<std::string> edges, previous_edges;
   std::vector<std::string> change_ids;  // of the latest changes, newest first
-  // What an adapter's operator sent, as it was sent; what it means to those who route (null: nothing yet);
-  // and the latest changes of it, newest first. The operator's own number is in `routing`.
+  // For a platform adapter: the operator's routing document exactly as it was sent, the routing table
+  // compiled from it (null: none was sent yet), and its latest changes, newest first. The operator's own
+  // version number is in `routing`.
   std::string operator_source;
   json routing;
   std::vector<applied_change> applied_changes;
@@ -54,34 +56,39 @@
 void to_json(json& document, const record& from);
 void from_json(const json& document, record& to);
 
+// A record of revision 0 whose document has empty sections.
 record empty_record();
+// The record as JSON text.
 std::string to_text(const record& content);
-// Nothing for a text that is no record.
+// nullopt if the text isn't a record.
 std::optional<record> record_from_text(const std::string& text);
-// The record in a register's value: an empty one if there is none, or if it can't be read.
+// The record in a register's value; an empty record if there is no value or it can't be read.
 record record_or_empty(const std::optional<std::string>& text);
 
-// Whether the change with this id is among the latest ones.
+// Whether the change with this id is among the latest 64 changes.
 bool has_change(const record& content, const std::string& change_id);
-// The next revision. The operators' version moves only with a new document.
+// The record's next revision. `version` increases only if a new document is given.
 record next_revision(const record& content, std::optional<json> document, const std::string& change_id);
-// The record after an operator's change of the routing table. `digest` is that of the call.
+// The next revision with a new routing table. `operator_source` is the operator's document as it was sent,
+// and `digest` the digest of the operator's call.
 record next_routing(const record& content, std::string operator_source, const routing::table& table,
                     const std::string& digest, const std::string& change_id);
 // The applied change with this digest, or nullptr.
 const applied_change* find_applied(const record& content, const std::string& digest);
-// The operator's number of the routing table; 0: there is none.
+// The operator's version number of the routing table; 0 if there is no table.
 std::int64_t routing_version(const record& content);
-// Without what only the cores need, for distribution.
+// The record for distribution, without `operator_source` and `applied_changes`, which only the cores need.
 record without_operator_source(const record& content);
 
-// Names in a list of the document's shared section, such as "evacuated_zones" and "retiring_storage".
+// The names in a list of the document's shared section; `list` is `evacuated_zones` or `retiring_storage`.
+// Empty if there is no such list.
 std::set<std::string> shared_names(const json& document, const char* list);
+// Replaces the names in a list of the document's shared section.
 void set_shared_names(json& document, const char* list, const std::set<std::string>& names);
 constexpr const char* evacuated_zones = "evacuated_zones";
 constexpr const char* retiring_storage = "retiring_storage";
 
-// Where a document is wrong: a JSON pointer, and what is wrong there.
+// A fault in a document: a JSON pointer to the faulty value, and a message.
 struct violation {
   std::string pointer, message;
 
@@ -91,15 +98,17 @@
                            json_field(&violation::message, "what"));
   }
 };
-// All violations of a document: of the shared JSON Schema and, if there are none, of references between its
-// parts.
+// All violations of a document: those of the JSON Schema or, if there are none, invalid references between
+// its parts and invalid calendar times. Empty if the document is valid.
 std::vector<violation> validate(const json& document);
 
-// Which partners' sections differ, and whether the shared one does.
+// The partners whose sections differ between two documents, and whether the shared section differs.
 struct section_changes {
   std::vector<std::string> partners;
   bool shared = false;
 };
+// Compares two documents by section. A missing section equals an empty one, except that an added or removed
+// partner always counts as changed.
 section_changes changed_sections(const json& before, const json& after);
 
 }  // namespace herontally::configuration
--- a/src/configuration/snapshot.cc
+++ b/src/configuration/snapshot.cc
@@ -4,19 +4,19 @@
 
 namespace {
 
-std::optional<std::int64_t> delta_of(const json& value) {
+std::optional<std::int64_t> parse_delta(const json& value) {
   if (value.is_null()) return std::nullopt;
   return value.get<std::int64_t>();
 }
 
-model model_of(const std::string& name, const json& from) {
+model parse_model(const std::string& name, const json& from) {
   model out;
   out.name = name;
   out.weights = from["weights"];
   out.hash_seed = from["hash_seed"];
   out.block_tokens = from["block_tokens"];
   if (from.contains("minCachedTokenDelta"))
-    out.min_cached_token_delta = delta_of(from["minCachedTokenDelta"]);
+    out.min_cached_token_delta = parse_delta(from["minCachedTokenDelta"]);
   out.near_tie_tokens = from.value("near_tie_tokens", out.near_tie_tokens);
   out.pull_seconds = from.value("pull_seconds", out.pull_seconds);
   out.warm_seconds = from.value("warm_seconds", out.warm_seconds);
@@ -27,7 +27,7 @@
   return out;
 }
 
-table table_from(const json& from) {
+table parse_table(const json& from) {
   table out;
   out.usage_weight = from.value("usage_weight", out.usage_weight);
   out.prefix_preference = from.value("prefix_preference", out.prefix_preference);
@@ -35,11 +35,11 @@
   out.zone_weights = from.value("zone_weights", out.zone_weights);
   if (from.contains("minCachedTokenDelta"))
     for (auto& [name, value] : from["minCachedTokenDelta"].items())
-      out.min_cached_token_delta[name] = delta_of(value);
+      out.min_cached_token_delta[name] = parse_delta(value);
   return out;
 }
 
-program program_of(const json& from) {
+program parse_program(const json& from) {
   program out;
   out.model = from["model"];
   out.table = from.value("table", "");
@@ -51,7 +51,7 @@
   return out;
 }
 
-route route_of(const json& from) {
+route parse_route(const json& from) {
   route out;
   out.application = from["application"];
   out.path = from["path"];
@@ -63,23 +63,26 @@
   return out;
 }
 
-template <class Make>
-void each(const json& section, const char* kind, Make make) {
+// Calls `handle_entry` with the name and the value of each entry of this kind.
+template <class Handler>
+void for_each_entry(const json& section, const char* kind, Handler handle_entry) {
   if (!section.contains(kind)) return;
-  for (auto& [name, entry] : section[kind].items()) make(name, entry);
+  for (auto& [name, entry] : section[kind].items()) handle_entry(name, entry);
 }
 
-partner partner_of(const json& section) {
+partner parse_partner(const json& section) {
   partner out;
-  each(section, "models", [&](auto& name, auto& entry) { out.models[name] = model_of(name, entry); });
-  each(section, "tables", [&](auto& name, auto& entry) { out.tables[name] = table_from(entry); });
-  each(section, "programs", [&](auto& name, auto& entry) { out.programs[name] = program_of(entry); });
-  each(section, "routes", [&](auto& name, auto& entry) { out.routes[name] = route_of(entry); });
-  each(section, "applications", [&](auto& name, auto& entry) {
-    application made;
-    made.calls_per_engine = entry.value("calls_per_engine", made.calls_per_engine);
-    made.warm_seconds = entry.value("warm_seconds", made.warm_seconds);
-    out.applications[name] = made;
+  for_each_entry(section, "models",
+                 [&](auto& name, auto& entry) { out.models[name] = parse_model(name, entry); });
+  for_each_entry(section, "tables", [&](auto& name, auto& entry) { out.tables[name] = parse_table(entry); });
+  for_each_entry(section, "programs",
+                 [&](auto& name, auto& entry) { out.programs[name] = parse_program(entry); });
+  for_each_entry(section, "routes", [&](auto& name, auto& entry) { out.routes[name] = parse_route(entry); });
+  for_each_entry(section, "applications", [&](auto& name, auto& entry) {
+    application parsed;
+    parsed.calls_per_engine = entry.value("calls_per_engine", parsed.calls_per_engine);
+    parsed.warm_seconds = entry.value("warm_seconds", parsed.warm_seconds);
+    out.applications[name] = parsed;
   });
   return out;
 }
@@ -110,10 +113,10 @@
   out.limit.client_buffer_kilobytes =
       limits.value("client_buffer_kilobytes", out.limit.client_buffer_kilobytes);
   out.limit.requests_per_client = limits.value("requests_per_client", out.limit.requests_per_client);
-  // A reference: a temporary from value() would die before the loop does.
-  static const json nobody = json::object();
-  const json& partners = content.document.contains("partners") ? content.document["partners"] : nobody;
-  for (auto& [name, section] : partners.items()) out.partners[name] = partner_of(section);
+  // Bound to a reference: a temporary returned by value() would be destroyed before the loop ends.
+  static const json no_partners = json::object();
+  const json& partners = content.document.contains("partners") ? content.document["partners"] : no_partners;
+  for (auto& [name, section] : partners.items()) out.partners[name] = parse_partner(section);
   if (content.routing.is_object()) out.routing = content.routing.get<routing::table>();
   return out;
 }
--- a/src/configuration/validation.cc
+++ b/src/configuration/validation.cc
@@ -1,5 +1,5 @@
-// Validates an operators' document: its shape by the shared JSON Schema, then the references between its
-// parts.
+// Validates an operators' document: first against the JSON Schema, then the references between its parts and
+// the calendar times.
 #include <valijson/adapters/nlohmann_json_adapter.hpp>
 #include <valijson/schema.hpp>
 #include <valijson/schema_parser.hpp>
@@ -15,7 +15,7 @@
 namespace {
 
 const valijson::Schema& schema() {
-  // Parsed once: the text is part of the program.
+  // Parsed once, from the schema text that is compiled into the program.
   static auto* parsed = [] {
     auto* target = new valijson::Schema();
     static const json document = json::parse(schema_operators);
@@ -26,52 +26,56 @@
   return *parsed;
 }
 
-std::string escape(const std::string& part) {
-  std::string out;
-  for (char letter : part) {
-    if (letter == '~')
-      out += "~0";
-    else if (letter == '/')
-      out += "~1";
+// Escapes a JSON pointer token (RFC 6901).
+std::string escape_token(const std::string& part) {
+  std::string escaped;
+  for (char character : part) {
+    if (character == '~')
+      escaped += "~0";
+    else if (character == '/')
+      escaped += "~1";
     else
-      out += letter;
+      escaped += character;
   }
-  return out;
+  return escaped;
 }
 
-// valijson names the path in pieces such as "<root>", "[partners]", "[0]".
-std::string pointer_of(const std::vector<std::string>& context) {
+// Converts valijson's path to a JSON pointer. valijson gives it as parts such as "<root>", "[partners]",
+// "[0]".
+std::string json_pointer_of(const std::vector<std::string>& context) {
   std::string pointer;
   for (auto& part : context)
     if (part.size() > 2 && part.front() == '[' && part.back() == ']')
-      pointer += "/" + escape(part.substr(1, part.size() - 2));
+      pointer += "/" + escape_token(part.substr(1, part.size() - 2));
   return pointer;
 }
 
-void check_shape(const json& document, std::vector<violation>& violations) {
+void check_schema(const json& document, std::vector<violation>& violations) {
   valijson::Validator validator;
   valijson::ValidationResults results;
   if (validator.validate(schema(), valijson::adapters::NlohmannJsonAdapter(document), &results)) return;
   valijson::ValidationResults::Error error;
-  std::map<std::string, std::string> deepest;
+  std::map<std::string, std::string> message_by_pointer;
   while (results.popError(error)) {
-    auto pointer = pointer_of(error.context);
-    if (!deepest.contains(pointer)) deepest[pointer] = error.description;
+    auto pointer = json_pointer_of(error.context);
+    if (!message_by_pointer.contains(pointer)) message_by_pointer[pointer] = error.description;
   }
-  for (auto& [pointer, what] : deepest) {
-    // An outer place is only blamed for what lies inside it when nothing more exact is known.
-    auto inner = deepest.upper_bound(pointer);
-    bool covered = inner != deepest.end() &&
+  for (auto& [pointer, message] : message_by_pointer) {
+    // valijson also reports each value that contains the faulty one as not matching its schema.
+    // Such an error is reported only if there is none at a deeper pointer.
+    auto inner = message_by_pointer.upper_bound(pointer);
+    bool covered = inner != message_by_pointer.end() &&
                    inner->first.compare(0, pointer.size() + 1, pointer + "/") == 0 &&
-                   what.find("chema") != std::string::npos;
-    if (!covered) violations.push_back({pointer, what});
+                   message.find("chema") != std::string::npos;
+    if (!covered) violations.push_back({pointer, message});
   }
 }
 
-struct cross_check {
+struct reference_check {
   std::vector<violation>& violations;
-  void named(const json& section, const std::string& within, const char* kind, const json& entry,
-             const char* field, const std::string& pointer) {
+  // Reports a violation if `entry[field]` names no entry of this kind in the section.
+  void require_entry(const json& section, const std::string& within, const char* kind, const json& entry,
+                     const char* field, const std::string& pointer) {
     if (!entry.contains(field)) return;
     std::string name = entry[field];
     if (!section.contains(kind) || !section[kind].contains(name))
@@ -81,34 +85,36 @@
 };
 
 void check_partner(const json& section, const std::string& pointer, std::vector<violation>& violations) {
-  cross_check cross{violations};
-  auto each = [&](const char* kind, auto check_entry) {
+  reference_check references{violations};
+  auto for_each_entry = [&](const char* kind, auto check_entry) {
     if (!section.contains(kind)) return;
     for (auto& [name, entry] : section[kind].items())
-      check_entry(entry, pointer + "/" + kind + "/" + escape(name));
+      check_entry(entry, pointer + "/" + kind + "/" + escape_token(name));
   };
-  each("programs", [&](const json& entry, const std::string& place) {
-    cross.named(section, pointer, "models", entry, "model", place);
-    cross.named(section, pointer, "tables", entry, "table", place);
+  for_each_entry("programs", [&](const json& entry, const std::string& entry_pointer) {
+    references.require_entry(section, pointer, "models", entry, "model", entry_pointer);
+    references.require_entry(section, pointer, "tables", entry, "table", entry_pointer);
   });
-  each("routes", [&](const json& entry, const std::string& place) {
-    cross.named(section, pointer, "applications", entry, "application", place);
-    cross.named(section, pointer, "tables", entry, "table", place);
+  for_each_entry("routes", [&](const json& entry, const std::string& entry_pointer) {
+    references.require_entry(section, pointer, "applications", entry, "application", entry_pointer);
+    references.require_entry(section, pointer, "tables", entry, "table", entry_pointer);
   });
-  each("tables", [&](const json& entry, const std::string& place) {
+  for_each_entry("tables", [&](const json& entry, const std::string& entry_pointer) {
     if (!entry.contains("minCachedTokenDelta")) return;
     for (auto& [model, delta] : entry["minCachedTokenDelta"].items())
       if (!section.contains("models") || !section["models"].contains(model))
         violations.push_back(
-            {place + "/minCachedTokenDelta/" + escape(model), "names no model of " + pointer});
+            {entry_pointer + "/minCachedTokenDelta/" + escape_token(model), "names no model of " + pointer});
   });
-  each("calendars", [&](const json& entry, const std::string& place) {
-    cross.named(section, pointer, "programs", entry, "program", place);
-    cross.named(section, pointer, "tables", entry, "table", place);
+  for_each_entry("calendars", [&](const json& entry, const std::string& entry_pointer) {
+    references.require_entry(section, pointer, "programs", entry, "program", entry_pointer);
+    references.require_entry(section, pointer, "tables", entry, "table", entry_pointer);
     auto parsed = parse_cron(entry["cron"].get<std::string>());
-    if (auto* why = std::get_if<std::string>(&parsed)) violations.push_back({place + "/cron", *why});
-    auto* when = std::get_if<cron>(&parsed);
-    if (when && !ever_matches(*when)) violations.push_back({place + "/cron", "names a day that never comes"});
+    if (auto* message = std::get_if<std::string>(&parsed))
+      violations.push_back({entry_pointer + "/cron", *message});
+    auto* schedule = std::get_if<cron>(&parsed);
+    if (schedule && !ever_matches(*schedule))
+      violations.push_back({entry_pointer + "/cron", "names a day that never comes"});
   });
 }
 
@@ -116,11 +122,11 @@
 
 std::vector<violation> validate(const json& document) {
   std::vector<violation> violations;
-  check_shape(document, violations);
-  // References are looked at only in a document of the right shape.
+  check_schema(document, violations);
+  // References can be checked only in a document that matches the schema.
   if (!violations.empty()) return violations;
   for (auto& [name, section] : document["partners"].items())
-    check_partner(section, "/partners/" + escape(name), violations);
+    check_partner(section, "/partners/" + escape_token(name), violations);
   return violations;
 }
 
--- a/tests/configuration_test.cc
+++ b/tests/configuration_test.cc
@@ -1,4 +1,5 @@
-// The desired state's checks, calendars, settings and the news rules.
+// Validation of the configuration document, calendar times, node settings, and the rules of configuration
+// freshness.
 #include <catch2/catch.hpp>
 #include <fstream>
 
@@ -16,21 +17,21 @@
   std::ifstream stream(std::string(EXAMPLES) + "/" + site + "/desired.json");
   return json::parse(stream);
 }
-bool names(const std::vector<configuration::violation>& faults, const std::string& pointer) {
-  for (auto& fault : faults)
-    if (fault.pointer == pointer) return true;
+bool has_violation_at(const std::vector<configuration::violation>& violations, const std::string& pointer) {
+  for (auto& violation : violations)
+    if (violation.pointer == pointer) return true;
   return false;
 }
 }  // namespace
 
-TEST_CASE("both partners' examples are without fault, and each kind of fault is named by its pointer") {
+TEST_CASE("the example documents are valid, and each kind of violation is reported with its pointer") {
   for (auto* site : {"swanreach", "zastavica"}) REQUIRE(configuration::validate(example(site)).empty());
-  struct spoiled {
-    const char* place;
+  struct invalid_value {
+    const char* replaced;
     json value;
     const char* pointer;
   };
-  std::vector<spoiled> cases{
+  std::vector<invalid_value> cases{
       {"/partners/swanreach/models/returns/block_tokens", 0,
        "/partners/swanreach/models/returns/block_tokens"},
       {"/partners/swanreach/models/returns/minCachedTokenDelta", "x",
@@ -63,23 +64,23 @@
   };
   for (auto& each : cases) {
     auto document = example("swanreach");
-    document[json::json_pointer(each.place)] = each.value;
-    auto faults = configuration::validate(document);
-    INFO(each.pointer << " in " << json(faults).dump());
-    REQUIRE(names(faults, each.pointer));
+    document[json::json_pointer(each.replaced)] = each.value;
+    auto violations = configuration::validate(document);
+    INFO(each.pointer << " in " << json(violations).dump());
+    REQUIRE(has_violation_at(violations, each.pointer));
   }
-  // Every fault is told, not the first alone.
+  // All violations are reported, not only the first one.
   auto document = example("swanreach");
   document["partners"]["swanreach"]["models"]["returns"]["block_tokens"] = 0;
   document["partners"]["swanreach"]["tables"]["day"]["usage_weight"] = -1;
-  auto faults = configuration::validate(document);
-  REQUIRE(names(faults, "/partners/swanreach/models/returns/block_tokens"));
-  REQUIRE(names(faults, "/partners/swanreach/tables/day/usage_weight"));
+  auto violations = configuration::validate(document);
+  REQUIRE(has_violation_at(violations, "/partners/swanreach/models/returns/block_tokens"));
+  REQUIRE(has_violation_at(violations, "/partners/swanreach/tables/day/usage_weight"));
 }
 
-TEST_CASE("whatever is put for a document is refused or compiled, never worse") {
+TEST_CASE("a document with a random value is either rejected or compiled to a snapshot, without a crash") {
   std::mt19937_64 random(17);
-  std::function<json(int)> any = [&](int depth) -> json {
+  std::function<json(int)> random_value = [&](int depth) -> json {
     switch (random() % (depth > 3 ? 5 : 7)) {
       case 0:
         return nullptr;
@@ -92,20 +93,20 @@
       case 4:
         return -1.5;
       case 5:
-        return json::array({any(depth + 1)});
+        return json::array({random_value(depth + 1)});
       default:
-        return json{{"model", any(depth + 1)}, {"cron", any(depth + 1)}};
+        return json{{"model", random_value(depth + 1)}, {"cron", random_value(depth + 1)}};
     }
   };
-  int refused = 0, compiled = 0;
-  for (int turn = 0; turn < 1500; ++turn) {
+  int rejected = 0, compiled = 0;
+  for (int iteration = 0; iteration < 1500; ++iteration) {
     auto document = example("zastavica");
-    // One value somewhere is replaced by another one.
+    // Replaces one randomly chosen value.
     auto flat = document.flatten();
-    auto place = std::next(flat.begin(), static_cast<std::ptrdiff_t>(random() % flat.size()));
-    document[json::json_pointer(place.key())] = any(0);
+    auto replaced = std::next(flat.begin(), static_cast<std::ptrdiff_t>(random() % flat.size()));
+    document[json::json_pointer(replaced.key())] = random_value(0);
     if (!configuration::validate(document).empty()) {
-      ++refused;
+      ++rejected;
       continue;
     }
     configuration::record content;
@@ -113,13 +114,13 @@
     REQUIRE(configuration::snapshot_of(content).partners.size() == 1);
     ++compiled;
   }
-  REQUIRE(refused > 500);
+  REQUIRE(rejected > 500);
   REQUIRE(compiled > 20);
 }
 
-TEST_CASE("calendar times match a plain walk over the days") {
+TEST_CASE("cron expressions match the expected minutes, and malformed ones are rejected") {
   auto when = [](const char* text) { return std::get<configuration::cron>(configuration::parse_cron(text)); };
-  // 2026-12-02 was a Wednesday; minute 0 of that day.
+  // The first minute of 2026-12-02, a Wednesday.
   std::int64_t day = 1796169600 / 60;
   REQUIRE(configuration::matches(when("30 8 * * 1-5"), day + 8 * 60 + 30));
   REQUIRE_FALSE(configuration::matches(when("30 8 * * 1-5"), day + 8 * 60 + 31));
@@ -135,7 +136,7 @@
     REQUIRE(std::holds_alternative<std::string>(configuration::parse_cron(bad)));
 }
 
-TEST_CASE("settings name the field that is wrong") {
+TEST_CASE("invalid settings are rejected with the name of the wrong field") {
   json good{{"name", "core-1"},
             {"zone", "a"},
             {"inner", "127.0.0.1:7101"},
