--- a/src/agent/config_feed.cc
+++ b/src/agent/config_feed.cc
@@ -22,8 +22,8 @@
 }  // namespace
 
 std::int64_t config_feed::age_milliseconds() const {
-  if (!context_->freshness.is_known()) return -1;
-  return (context_->runtime.now() - context_->freshness.moment()) / millisecond + 1;
+  if (!context_->freshness.is_confirmed()) return -1;
+  return (context_->runtime.now() - context_->freshness.confirmed_until()) / millisecond + 1;
 }
 
 void config_feed::learn(const rpc::config_update_reply& reply, const std::string& source) {
@@ -86,7 +86,7 @@
         reply && reply->age_milliseconds >= 0 && reply->age_milliseconds < max_core_age_milliseconds;
     if (reply) self->learn_from_core(*reply, asked);
     if (useful && shared->configs.revision() >= reply->revision)
-      shared->freshness.vouched(asked - reply->age_milliseconds * millisecond);
+      shared->freshness.confirm(asked - reply->age_milliseconds * millisecond);
     if (!useful) {
       ++self->core_number_;
       co_await shared->runtime.sleep(retry_pause);
@@ -103,13 +103,13 @@
   if (reply.age_milliseconds < 0) return;
   learn(reply, "agent " + peer.name);
   if (shared.configs.revision() < reply.revision) return;
-  shared.freshness.heard_edge(peer.name, asked);
+  shared.freshness.record_edge_report(peer.name, asked);
   auto ages = nlohmann::json::parse(reply.peer_ages, nullptr, false);
   if (ages.is_object())
     for (auto& [name, age] : ages.items())
       if (age.is_number_integer() && age.get<std::int64_t>() >= 0)
-        shared.freshness.heard_edge(name, asked - age.get<std::int64_t>() * millisecond);
-  shared.freshness.vouched(asked - reply.age_milliseconds * millisecond);
+        shared.freshness.record_edge_report(name, asked - age.get<std::int64_t>() * millisecond);
+  shared.freshness.confirm(asked - reply.age_milliseconds * millisecond);
 }
 
 task<> config_feed::ask_peer(rpc::member peer) {
@@ -143,8 +143,8 @@
   auto self = shared_from_this();
   auto shared = self->context_;
   while (true) {
-    bool core_silent = !shared->freshness.is_known() ||
-                       shared->runtime.now() - shared->freshness.moment() > max_core_silence;
+    bool core_silent = !shared->freshness.is_confirmed() ||
+                       shared->runtime.now() - shared->freshness.confirmed_until() > max_core_silence;
     if (core_silent)
       for (auto& peer : self->peers_to_ask()) shared->runtime.spawn(self->ask_peer(peer));
     co_await shared->runtime.sleep(peer_period);
--- a/src/config_distribution/change_trace.cc
+++ b/src/config_distribution/change_trace.cc
@@ -2,7 +2,7 @@
 
 namespace herontally::config_distribution {
 
-// Enough for the tracer to follow the latest changes.
+// Enough to trace the latest changes. The oldest half of this number is dropped when it is exceeded.
 constexpr std::size_t max_events = 500;
 
 change_trace::change_trace(runtime::handle runtime)
--- a/src/config_distribution/config_store.cc
+++ b/src/config_distribution/config_store.cc
@@ -8,6 +8,7 @@
 using runtime::millisecond;
 using runtime::task;
 
+// Upper limit of the wait that a request may ask for.
 constexpr std::int64_t max_wait_milliseconds = 2000;
 
 struct config_store::state {
@@ -17,12 +18,12 @@
   engine_list_version engines_version;
   std::string engines;
   microseconds engines_confirmed = -1;
-  std::vector<runtime::slot<bool>> waiting;
+  std::vector<runtime::slot<bool>> waiters;
 
   explicit state(runtime::handle handle) : runtime(std::move(handle)) {}
   void wake() {
-    for (auto& waiter : waiting) waiter.set(true);
-    waiting.clear();
+    for (auto& waiter : waiters) waiter.set(true);
+    waiters.clear();
   }
   bool has_update_for(const rpc::config_update_request& request) const {
     engine_list_version known{request.engines_epoch, request.engines_sequence};
@@ -53,8 +54,8 @@
   return true;
 }
 
-void config_store::confirm_engines(microseconds moment) {
-  state_->engines_confirmed = std::max(state_->engines_confirmed, moment);
+void config_store::confirm_engines(microseconds time) {
+  state_->engines_confirmed = std::max(state_->engines_confirmed, time);
 }
 
 std::int64_t config_store::engines_age_milliseconds() const {
@@ -69,11 +70,11 @@
       std::clamp<std::int64_t>(request.wait_milliseconds, 0, max_wait_milliseconds) * millisecond;
   if (!self->has_update_for(request) && wait > 0) {
     runtime::slot<bool> notifier(self->runtime);
-    self->waiting.push_back(notifier);
+    self->waiters.push_back(notifier);
     auto timer = self->runtime.after(wait, [notifier] { notifier.set(false); });
     co_await notifier.wait();
     self->runtime.cancel(timer);
-    std::erase_if(self->waiting, [](auto& waiter) { return waiter.is_set(); });
+    std::erase_if(self->waiters, [](auto& waiter) { return waiter.is_set(); });
   }
   rpc::config_update_reply reply;
   reply.revision = self->revision;
--- a/src/config_distribution/config_store.h
+++ b/src/config_distribution/config_store.h
@@ -1,44 +1,52 @@
 // The newest configuration and engine list that a node knows, and the long polls that wait for newer ones.
+// The store keeps them as text in memory; it neither parses nor fetches them.
 //
-// Invariants: a lower revision never replaces a higher one, nor an engine list one of a higher epoch and
-// sequence.
+// Invariants: a configuration never replaces one of a higher revision, and an engine list never replaces one
+// of a higher epoch or, in the same epoch, a higher sequence number.
 #pragma once
 #include "configuration/record.h"
 #include "rpc/endpoint.h"
 
 namespace herontally::config_distribution {
 
-// Which engine list: the epoch of the poll's owner, and its count of lists.
+// Version of an engine list: the epoch of the core that owns the polling of the platform, and the number that
+// it gave the list.
 struct engine_list_version {
   std::int64_t epoch = 0, sequence = 0;
   auto operator<=>(const engine_list_version&) const = default;
 };
 
-// Copies share one state.
+// The store of one node. Copies share one state.
 class config_store {
  public:
   explicit config_store(runtime::handle runtime);
 
-  // False if the revision is not above the known one.
+  // Stores the configuration and wakes waiting polls. False, without a change, if the revision isn't higher
+  // than the known one.
   bool set_config(std::int64_t revision, const std::string& text);
+  // Revision of the known configuration; 0: none is known.
   std::int64_t revision() const;
-  // configuration::record as JSON; empty: none is known.
+  // The configuration::record as JSON; empty: none is known.
   const std::string& config_text() const;
 
-  // False if the version is not above the known one.
+  // Stores the engine list and wakes waiting polls. False, without a change, if the version isn't higher than
+  // the known one.
   bool set_engines(engine_list_version version, const std::string& text);
   engine_list_version engines_version() const;
+  // The engine list as JSON; empty: none is known.
   const std::string& engines_text() const;
-  // The platform confirmed the list at this moment of our own clock, or later.
-  void confirm_engines(runtime::microseconds moment);
-  // Milliseconds since the platform confirmed the list; -1: never.
+  // Records that the platform confirmed the list at this time of the local clock, or later. Earlier times
+  // than the latest have no effect.
+  void confirm_engines(runtime::microseconds time);
+  // Milliseconds since the platform confirmed the list, rounded up; -1: never.
   std::int64_t engines_age_milliseconds() const;
 
-  // Replies at once when something is newer than what the request names, otherwise when it is or when the
-  // request's wait is over. `config_age` is asked for at the moment of replying.
+  // Serves a long poll: replies at once if something is newer than the versions in the request, otherwise
+  // when something newer arrives or the request's wait, of at most 2 s, is over. `config_age` is called at
+  // the time of the reply.
   runtime::task<rpc::config_update_reply> wait_for_update(rpc::config_update_request request,
                                                           std::function<std::int64_t()> config_age) const;
-  // Ends all waits, though nothing is newer.
+  // Wakes all waiting polls, which reply even though nothing is newer.
   void wake_waiters() const;
 
  private:
--- a/src/config_distribution/freshness.cc
+++ b/src/config_distribution/freshness.cc
@@ -10,30 +10,30 @@
 struct freshness::state {
   runtime::handle runtime;
   std::string own_name;
-  microseconds vouched = -1;
-  std::map<std::string, microseconds> heard;
+  microseconds confirmed = -1;
+  std::map<std::string, microseconds> reported;
   std::vector<std::string> edges, previous_edges;
 
-  // The latest moment that a majority of the set has reached; our own word always counts as of now.
-  microseconds quorum_moment(const std::vector<std::string>& set) const {
-    if (set.empty() || vouched < 0) return -1;
-    std::vector<microseconds> moments;
+  // The latest time up to which a majority of the set has reported. This node counts as having reported now.
+  microseconds majority_time(const std::vector<std::string>& set) const {
+    if (set.empty() || confirmed < 0) return -1;
+    std::vector<microseconds> times;
     for (auto& name : set) {
-      auto found = heard.find(name);
-      microseconds other = found == heard.end() ? -1 : found->second;
-      moments.push_back(name == own_name ? runtime.now() : other);
+      auto found = reported.find(name);
+      microseconds other = found == reported.end() ? -1 : found->second;
+      times.push_back(name == own_name ? runtime.now() : other);
     }
-    std::sort(moments.rbegin(), moments.rend());
-    return moments[set.size() / 2];
+    std::sort(times.rbegin(), times.rend());
+    return times[set.size() / 2];
   }
 };
 
 freshness::freshness(runtime::handle runtime, std::string own_name)
     : state_(std::make_shared<state>(state{std::move(runtime), std::move(own_name), -1, {}, {}, {}})) {}
-void freshness::vouched(microseconds moment) { state_->vouched = std::max(state_->vouched, moment); }
-void freshness::heard_edge(const std::string& name, microseconds moment) {
-  auto& known = state_->heard.emplace(name, -1).first->second;
-  known = std::max(known, moment);
+void freshness::confirm(microseconds time) { state_->confirmed = std::max(state_->confirmed, time); }
+void freshness::record_edge_report(const std::string& name, microseconds time) {
+  auto& latest = state_->reported.emplace(name, -1).first->second;
+  latest = std::max(latest, time);
 }
 void freshness::set_edges(const std::vector<std::string>& edges, const std::vector<std::string>& previous) {
   state_->edges = edges;
@@ -42,16 +42,16 @@
 std::map<std::string, std::int64_t> freshness::ages_milliseconds() const {
   std::map<std::string, std::int64_t> ages;
   auto now = state_->runtime.now();
-  for (auto& [name, moment] : state_->heard)
-    if (moment >= 0 && now - moment <= max_config_age) ages[name] = (now - moment) / millisecond + 1;
+  for (auto& [name, time] : state_->reported)
+    if (time >= 0 && now - time <= max_config_age) ages[name] = (now - time) / millisecond + 1;
   return ages;
 }
-bool freshness::is_known() const { return state_->vouched >= 0; }
-microseconds freshness::moment() const {
-  auto by_edges = state_->quorum_moment(state_->edges);
+bool freshness::is_confirmed() const { return state_->confirmed >= 0; }
+microseconds freshness::confirmed_until() const {
+  auto by_edges = state_->majority_time(state_->edges);
   if (!state_->previous_edges.empty())
-    by_edges = std::min(by_edges, state_->quorum_moment(state_->previous_edges));
-  return std::max(state_->vouched, by_edges);
+    by_edges = std::min(by_edges, state_->majority_time(state_->previous_edges));
+  return std::max(state_->confirmed, by_edges);
 }
 
 }  // namespace herontally::config_distribution
--- a/src/config_distribution/freshness.h
+++ b/src/config_distribution/freshness.h
@@ -1,9 +1,10 @@
-// How recent a node's configuration is certain to be: every change acknowledged before `moment` is known
-// here.
+// A lower bound on how recent a node's configuration is: every change acknowledged before `confirmed_until`
+// is known here. Callers collect the reports; this module only evaluates them.
 //
-// Rule: a change is acknowledged only when a majority of the cores has chosen it and a majority of the edge
-// machines that the configuration lists has it in force. So knowledge as of a moment follows from a core's
-// majority read at that moment, or from what a majority of the listed edges said at that moment or later.
+// A change is acknowledged only after a majority of the cores has chosen it and a majority of the edge
+// machines that the configuration lists has it in force. The configuration is therefore known to be current
+// as of a time if a core read it from a majority at that time, or if a majority of the listed edges reported
+// their revisions at that time or later.
 #pragma once
 #include <map>
 
@@ -11,26 +12,30 @@
 
 namespace herontally::config_distribution {
 
-// A configuration whose freshness lies further back than this must be taken for outdated.
+// A configuration that was last confirmed longer ago than this must be treated as outdated.
 constexpr runtime::microseconds max_config_age = 1500 * runtime::millisecond;
 
-// Copies share one state. Moments are of this node's own clock.
+// The freshness of one node's configuration. Copies share one state. Times are those of this node's own
+// clock.
 class freshness {
  public:
+  // `own_name` is this node's name in the configuration's list of edges.
   freshness(runtime::handle runtime, std::string own_name);
-  // A core or a peer vouched for everything up to this moment.
-  void vouched(runtime::microseconds moment);
-  // A peer edge reported its revision at this moment or later, and we know at least that revision.
-  void heard_edge(const std::string& name, runtime::microseconds moment);
-  // The edges that the configuration lists, and those that it listed before while the set changes.
+  // A core or a peer confirmed that every change acknowledged before this time is known here.
+  void confirm(runtime::microseconds time);
+  // A peer edge reported its revision at this time or later, and this node has at least that revision.
+  void record_edge_report(const std::string& name, runtime::microseconds time);
+  // Sets the edges that the configuration lists and, while the set changes, the previous ones (otherwise
+  // empty).
   void set_edges(const std::vector<std::string>& edges, const std::vector<std::string>& previous);
-  // How long ago each peer was heard, for those who ask us.
+  // Milliseconds since the latest report of each peer, for replies to other peers. Reports older than
+  // `max_config_age` are left out.
   std::map<std::string, std::int64_t> ages_milliseconds() const;
-  // -1: nothing is certain.
-  runtime::microseconds moment() const;
-  // False until something was vouched for since this node's start: before, even its own word counts for
-  // nothing.
-  bool is_known() const;
+  // Every change acknowledged before this time is known here; -1: nothing is confirmed.
+  runtime::microseconds confirmed_until() const;
+  // False until the first `confirm` since this node's start. Until then edge reports don't count, not even
+  // this node's own.
+  bool is_confirmed() const;
 
  private:
   struct state;
--- a/tests/agent_vouching_test.cc
+++ b/tests/agent_vouching_test.cc
@@ -31,7 +31,7 @@
     link = std::make_shared<agent::proxy_link>(shared, watch);
     feed = std::make_shared<agent::config_feed>(shared, watch, [] { return std::int64_t{0}; });
     link->set_feed(feed);
-    shared->freshness.vouched(shared->runtime.now());
+    shared->freshness.confirm(shared->runtime.now());
   }
   // The age that a poll is answered with; a proxy gives its own address.
   std::int64_t age(const std::string& http) {
--- a/tests/configuration_test.cc
+++ b/tests/configuration_test.cc
@@ -169,27 +169,27 @@
 }
 
 TEST_CASE(
-    "freshness follows from a core's word or from a majority of the listed edges, joint sets included") {
+    "freshness follows from a core's confirmation or a majority of the listed edges, also of joint sets") {
   simulator::world world(1);
   world.machine("m", "z");
   world.boot("m");
   auto runtime = world.runtime_of("m");
   config_distribution::freshness fresh(runtime, "a");
   fresh.set_edges({"a", "b", "c"}, {});
-  fresh.heard_edge("b", runtime.now());
-  fresh.heard_edge("c", runtime.now());
-  // Never vouched for in this life: neither our own word nor the others' counts.
-  REQUIRE(fresh.moment() < 0);
-  fresh.vouched(runtime.now());
-  REQUIRE(fresh.is_known());
+  fresh.record_edge_report("b", runtime.now());
+  fresh.record_edge_report("c", runtime.now());
+  // Nothing was confirmed since the start: neither this node's report nor the others' count.
+  REQUIRE(fresh.confirmed_until() < 0);
+  fresh.confirm(runtime.now());
+  REQUIRE(fresh.is_confirmed());
   world.run_for(5 * runtime::second);
   auto later = runtime.now();
-  REQUIRE(fresh.moment() < later - 4 * runtime::second);
-  fresh.heard_edge("c", later);
-  REQUIRE(fresh.moment() == later);
-  // While the set changes, both majorities are needed.
+  REQUIRE(fresh.confirmed_until() < later - 4 * runtime::second);
+  fresh.record_edge_report("c", later);
+  REQUIRE(fresh.confirmed_until() == later);
+  // While the set changes, majorities of both sets are required.
   fresh.set_edges({"a", "b", "c"}, {"a", "x", "y"});
-  REQUIRE(fresh.moment() < later - 4 * runtime::second);
-  fresh.heard_edge("y", later - 10);
-  REQUIRE(fresh.moment() == later - 10);
+  REQUIRE(fresh.confirmed_until() < later - 4 * runtime::second);
+  fresh.record_edge_report("y", later - 10);
+  REQUIRE(fresh.confirmed_until() == later - 10);
 }
