--- a/src/agent/context.h
+++ b/src/agent/context.h
@@ -1,4 +1,5 @@
-// Internal to the agent: what its parts share. The node owns it; parts keep it alive while their tasks run.
+// Internal to the agent: the state and services that its components share. The node owns it; the components
+// hold shared pointers, so that it lives while their tasks run.
 #pragma once
 #include "config_distribution/change_trace.h"
 #include "config_distribution/config_store.h"
@@ -18,7 +19,7 @@
   runtime::handle runtime;
   settings::settings place;
   logging::logger logger;
-  std::shared_ptr<const platform_protocol::adapter> platform_adapter;  // nullptr: the product's own protocol
+  std::shared_ptr<const platform_protocol::adapter> platform_adapter;  // nullptr: the built-in protocol
   rpc::endpoint endpoint;
   membership::member_list members;
   config_distribution::config_store configs;
--- a/src/agent/draining_watch.cc
+++ b/src/agent/draining_watch.cc
@@ -8,26 +8,28 @@
 
 using json = nlohmann::json;
 
-// An older list may have missed that an engine drains. The rest of the time until requests must have stopped
-// goes to the look itself and to the way to the proxy.
+// A list older than this may miss that an engine has begun to drain. The rest of the time until requests to a
+// draining engine must have stopped is needed to poll the platform and to inform the proxy.
 constexpr microseconds max_list_age = 1200 * millisecond;
 constexpr microseconds platform_timeout = 500 * millisecond;
 
-bool draining_watch::is_old(std::int64_t age_milliseconds) const {
+bool draining_watch::is_outdated(std::int64_t age_milliseconds) const {
   return age_milliseconds < 0 || age_milliseconds * millisecond > max_list_age;
 }
 
-bool draining_watch::may_take_list(const rpc::config_update_reply& reply) {
-  bool may = !is_old(reply.engines_age_milliseconds) || is_informed() || broken("outlook");
-  list_waiting_ = !may;
-  return may;
+bool draining_watch::accepts_engine_list(const rpc::config_update_reply& reply) {
+  bool accepted =
+      !is_outdated(reply.engines_age_milliseconds) || knows_draining_engines() || broken("outlook");
+  list_deferred_ = !accepted;
+  return accepted;
 }
 
-bool draining_watch::is_informed() const {
-  return looked_ || context_->configs.engines_version().sequence > 0;
+bool draining_watch::knows_draining_engines() const {
+  return platform_polled_ || context_->configs.engines_version().sequence > 0;
 }
 
-// Draining engines in the product's own list protocol.
+// Names of the draining engines in a response of the built-in engine list protocol; nullopt if it is
+// unusable.
 static std::optional<std::vector<std::string>> draining_in(const runtime::http_outcome& result) {
   auto* response = std::get_if<runtime::http_response>(&result);
   bool answered = response && response->status == 200;
@@ -59,7 +61,7 @@
   co_return draining;
 }
 
-task<> draining_watch::look() {
+task<> draining_watch::poll_platform() {
   auto self = shared_from_this();
   auto draining = co_await self->fetch_draining();
   self->context_->logger.count("herontally_platform_looks_total");
@@ -67,29 +69,29 @@
     self->draining_ = *draining;
     self->context_->configs.wake_waiters();
   }
-  self->looked_ = true;
+  self->platform_polled_ = true;
 }
 
-// With an adapter less often: all nodes share one rate, and each call is priced. Uneven pauses keep the edges
-// from asking all at once.
-microseconds draining_watch::pause(bool old) {
-  auto draw = [this](microseconds spread) {
-    return static_cast<microseconds>(context_->runtime.draw(static_cast<std::uint64_t>(spread)));
+// Polls less often with an adapter, because all nodes share one rate limit of the platform and each call
+// is charged for. The random part keeps the edges from polling at the same time.
+microseconds draining_watch::poll_delay(bool outdated) {
+  auto jitter = [this](microseconds range) {
+    return static_cast<microseconds>(context_->runtime.draw(static_cast<std::uint64_t>(range)));
   };
-  if (!context_->platform_adapter) return 400 * millisecond + draw(200 * millisecond);
-  return old ? second + draw(300 * millisecond) : 300 * millisecond;
+  if (!context_->platform_adapter) return 400 * millisecond + jitter(200 * millisecond);
+  return outdated ? second + jitter(300 * millisecond) : 300 * millisecond;
 }
 
 task<> draining_watch::run() {
   auto self = shared_from_this();
   auto shared = self->context_;
   while (true) {
-    bool old = self->is_old(shared->configs.engines_age_milliseconds());
-    if (!old) self->draining_.clear();
-    bool of_use = shared->configs.engines_version().sequence > 0 || self->list_waiting_;
-    bool can_look = shared->platform_adapter ? !shared->place.platform.empty() : !broken("outlook");
-    if (old && of_use && can_look) co_await self->look();
-    co_await shared->runtime.sleep(self->pause(old));
+    bool outdated = self->is_outdated(shared->configs.engines_age_milliseconds());
+    if (!outdated) self->draining_.clear();
+    bool needed = shared->configs.engines_version().sequence > 0 || self->list_deferred_;
+    bool can_poll = shared->platform_adapter ? !shared->place.platform.empty() : !broken("outlook");
+    if (outdated && needed && can_poll) co_await self->poll_platform();
+    co_await shared->runtime.sleep(self->poll_delay(outdated));
   }
 }
 
--- a/src/agent/draining_watch.h
+++ b/src/agent/draining_watch.h
@@ -1,8 +1,8 @@
-// Internal to the agent: its own look at the platform's engine list, when nobody who polls it can be heard.
+// Internal to the agent: polls the platform's engine list directly while the list from the cores is outdated.
 //
-// The platform answers only a few times a second, so that one core polls it for all. An edge that is cut off
-// from that core looks for itself. It takes from the platform only that engines drain: whatever else the list
-// says is versioned by the core's epoch, which an edge doesn't have.
+// The platform answers only a few requests per second, so one core polls it for all nodes. An edge that is
+// cut off from that core polls the platform itself. It uses only the information which engines drain: the
+// rest of the list is versioned by the core's epoch, which an edge doesn't have.
 #pragma once
 #include "agent/context.h"
 
@@ -11,28 +11,32 @@
 class draining_watch : public std::enable_shared_from_this<draining_watch> {
  public:
   explicit draining_watch(std::shared_ptr<context> shared) : context_(std::move(shared)) {}
-  // Looks whenever the known list is old, until the process stops.
+  // Polls the platform while the known list is outdated, until the process stops.
   task<> run();
-  // Engines that were seen draining while the list was old.
+  // Engines that the platform reported as draining while the list was outdated.
   const std::vector<std::string>& draining() const { return draining_; }
-  // Whether the engine list of this reply may be taken. The first list after a start, when it is old where it
-  // comes from, may not say which engines drain, and we can't know it from before. The platform is looked at
-  // first, and the list taken once that look is over: without an answer the engines' own word is all there
-  // is.
-  bool may_take_list(const rpc::config_update_reply& reply);
-  // Whether this node has heard since its start which engines drain, or has asked the platform in vain.
-  bool is_informed() const;
+  // Whether the engine list of this reply may be stored. The first list after a start may be outdated at its
+  // source and then miss draining engines, which this node can't know from before its start. Such a list is
+  // rejected until the platform was polled once. It is accepted even if the poll failed: then the state that
+  // the engines themselves report is the only information. A rejection makes `run` poll the platform.
+  bool accepts_engine_list(const rpc::config_update_reply& reply);
+  // Whether this node has learned since its start which engines drain, or its poll of the platform has
+  // failed.
+  bool knows_draining_engines() const;
 
  private:
-  bool is_old(std::int64_t age_milliseconds) const;
-  task<> look();
+  // For an engine list of this age; a negative age is unknown and counts as outdated.
+  bool is_outdated(std::int64_t age_milliseconds) const;
+  // Updates `draining_` and wakes waiting polls if it changed. A failed poll leaves it as it is.
+  task<> poll_platform();
+  // Names of the draining engines; nullopt if the platform can't be reached or its answer can't be used.
   task<std::optional<std::vector<std::string>>> fetch_draining();
-  microseconds pause(bool old);
+  microseconds poll_delay(bool outdated);
 
   std::shared_ptr<context> context_;
   std::vector<std::string> draining_;
-  bool looked_ = false;        // since the start, with or without an answer
-  bool list_waiting_ = false;  // a list waits for our look
+  bool platform_polled_ = false;  // since the start, successfully or not
+  bool list_deferred_ = false;    // a list was rejected until the platform is polled
 };
 
 }  // namespace herontally::agent
--- a/src/agent/main.cc
+++ b/src/agent/main.cc
@@ -1,7 +1,8 @@
 #include "agent/node.h"
 #include "runtime/program.h"
 
-int main(int count, char** words) {
+int main(int count, char** arguments) {
   return herontally::runtime::run_program<herontally::agent::node>(
-      count, words, "agent", "keeps the control link and feeds the proxy beside it");
+      count, arguments, "agent",
+      "fetches the configuration from the control plane and supplies it to the local proxy");
 }
--- a/src/agent/node.cc
+++ b/src/agent/node.cc
@@ -12,12 +12,12 @@
   std::shared_ptr<config_feed> feed;
   bool leaving = false;
 
-  explicit state(std::shared_ptr<context> made)
-      : shared(made),
-        watch(std::make_shared<draining_watch>(made)),
-        proxy(std::make_shared<proxy_link>(made, watch)),
-        feed(
-            std::make_shared<config_feed>(made, watch, [link = proxy] { return link->applied_revision(); })) {
+  explicit state(std::shared_ptr<context> shared_context)
+      : shared(shared_context),
+        watch(std::make_shared<draining_watch>(shared_context)),
+        proxy(std::make_shared<proxy_link>(shared_context, watch)),
+        feed(std::make_shared<config_feed>(shared_context, watch,
+                                           [link = proxy] { return link->applied_revision(); })) {
     proxy->set_feed(feed);
   }
 
@@ -25,7 +25,7 @@
     auto age = feed->age_milliseconds();
     return age >= 0 && age * millisecond <= config_distribution::max_config_age && !leaving;
   }
-  void serve_pages(const runtime::inbound_request& request, const http_api::writer& out) const {
+  void serve_http(const runtime::inbound_request& request, const http_api::writer& out) const {
     nlohmann::json detail{{"revision", shared->configs.revision()}};
     if (!http_api::common_pages(request, out, shared->logger, ready(), detail))
       http_api::reject(out, 404, "no such page", http_api::executed::no);
@@ -47,13 +47,13 @@
   if (!shared->endpoint.listen(shared->place.inner))
     co_return "inner can't be listened on: " + shared->place.inner;
   shared->members.start();
-  shared->runtime.spawn(self->feed->follow_core());
-  shared->runtime.spawn(self->feed->follow_peers());
+  shared->runtime.spawn(self->feed->poll_cores());
+  shared->runtime.spawn(self->feed->poll_peers());
   shared->runtime.spawn(self->watch->run());
   shared->runtime.spawn(self->proxy->run());
   std::weak_ptr<state> weak = self;
   auto pages = [weak](runtime::inbound_request request, http_api::writer out) {
-    if (auto here = weak.lock()) here->serve_pages(request, out);
+    if (auto here = weak.lock()) here->serve_http(request, out);
   };
   if (!shared->runtime.http_serve(shared->place.http, pages))
     co_return "http can't be listened on: " + shared->place.http;
--- a/src/agent/node.h
+++ b/src/agent/node.h
@@ -1,5 +1,5 @@
-// The agent: runs beside each proxy, keeps the link to the control plane and the membership, and feeds the
-// proxy over loopback.
+// The agent runs beside each proxy. It follows the control plane's configuration and the membership, and
+// supplies the proxy with them over loopback. It doesn't handle clients' requests.
 #pragma once
 #include "logging/logging.h"
 #include "platform_protocol/adapter.h"
@@ -10,13 +10,14 @@
 
 class node {
  public:
-  // Without an adapter the platform speaks the product's own protocol.
+  // Without an adapter the built-in platform protocol is used.
   node(runtime::handle runtime, settings::settings place, logging::logger logger,
        std::shared_ptr<const platform_protocol::adapter> platform_adapter = nullptr);
   ~node();
-  // Begins to serve; the result tells what stands in the way, if anything.
+  // Starts to listen and to serve. Returns an error message if an address can't be listened on, otherwise
+  // nullopt.
   runtime::task<std::optional<std::string>> start();
-  // Graceful shutdown: turns not ready and leaves the membership.
+  // Graceful shutdown: reports not ready and leaves the membership.
   runtime::task<> leave();
 
  private:
--- a/src/membership/member_list_state.h
+++ b/src/membership/member_list_state.h
@@ -54,7 +54,7 @@
   std::function<void(const rpc::member&)> on_change;
   bool leaving = false;
   std::int64_t first_version = 0, version = 0;
-  // Entries that periodic work has visited since the last `count_examined`.
+  // Entries that periodic work has examined since the last `count_examined`.
   mutable std::size_t examined = 0;
 
   state(rpc::endpoint from, rpc::member own, std::vector<std::string> given_seeds, probe_options given)
--- a/tests/agent_vouching_test.cc
+++ b/tests/agent_vouching_test.cc
@@ -1,5 +1,5 @@
-// simulator_seeds_16: an agent that has just started vouches for its proxy's configuration only once it knows
-// which engines drain.
+// Regression test for simulator_seeds_16: a proxy used a draining engine after its agent was restarted. The
+// new agent must not confirm the proxy's configuration before it knows which engines drain.
 #include <catch2/catch.hpp>
 
 #include "agent/config_feed.h"
@@ -33,7 +33,7 @@
     link->set_feed(feed);
     shared->freshness.confirm(shared->runtime.now());
   }
-  // The age that a poll is answered with; a proxy gives its own address.
+  // The configuration age in the reply to a poll. The poll is a proxy's if `http` is set, otherwise a peer's.
   std::int64_t age(const std::string& http) {
     rpc::config_update_request request;
     request.node = http.empty() ? "peer" : "a:proxy";
@@ -51,10 +51,10 @@
 
 }  // namespace
 
-TEST_CASE("an agent vouches for its proxy once it knows which engines drain") {
+TEST_CASE("a restarted agent confirms its proxy's configuration only once it knows which engines drain") {
   restarted_agent here;
   CHECK(here.age("10.0.0.1:7001") == -1);
-  // Peers ask for the configuration alone.
+  // Peers need only the configuration, so their polls get its age at once.
   CHECK(here.age("") >= 0);
   here.shared->configs.set_engines({1, 1}, "[]");
   CHECK(here.age("10.0.0.1:7001") >= 0);
