--- a/src/replica_storage/bucket_owner.cc
+++ b/src/replica_storage/bucket_owner.cc
@@ -1,5 +1,5 @@
-// The owner of a bucket: takes the queued commands, makes their changes durable with one sync, completes
-// them.
+// The task that owns a bucket: it applies the queued commands in batches, makes the changes of a batch
+// durable with one sync (group commit) and then completes its commands.
 #include "replica_storage/record_store_state.h"
 
 namespace herontally::replica_storage {
@@ -8,21 +8,23 @@
 using runtime::millisecond;
 using runtime::task;
 
-// On a busy disk a short wait lets more commands share a sync, during which the whole process stands still.
-constexpr microseconds commit_spacing = 15 * millisecond;
-// A batch is in memory several times while it is packed and written.
+// The least time between two commits of a busy bucket. A sync blocks the whole process, and a short delay
+// lets more commands share one.
+constexpr microseconds min_commit_interval = 15 * millisecond;
+// The size of a batch is limited because several copies of it are in memory while it is packed and written.
 constexpr std::size_t max_batch_commands = 256;
 constexpr std::size_t max_batch_bytes = 512 << 10;
 constexpr microseconds no_timeout = -1;
 
-// What a command takes in memory besides its values.
-static std::size_t memory_of(const command& one) {
-  constexpr std::size_t closures_and_waiters = 512;
-  return one.bytes + closures_and_waiters;
+// The estimated memory of a queued command, in bytes: its values, its closures and the tasks that wait for
+// it.
+static std::size_t queued_bytes(const command& queued) {
+  constexpr std::size_t command_overhead_bytes = 512;
+  return queued.bytes + command_overhead_bytes;
 }
 
 void bucket::push(command added) {
-  pending_bytes += memory_of(added);
+  pending_bytes += queued_bytes(added);
   queue.push(std::move(added));
 }
 
@@ -58,34 +60,35 @@
     staged.clear();
     failed = co_await owned->store.commit(std::move(changes), urgent);
   }
-  // From now on the store itself tells in which bucket they are.
+  // From now on the stores' indexes show which bucket holds these records.
   if (!failed)
     for (auto& turn : turns) self->pending_turns.erase(turn);
   for (auto& complete : completions) complete(result_of(failed));
 }
 
-task<> record_store::state::wait_for_company(bucket* owned) {
+task<> record_store::state::delay_commit(bucket* owned) {
   bool busy = owned == buckets[0].get() || owned == buckets[turn_bucket].get();
-  microseconds next = owned->last_commit + commit_spacing;
+  microseconds next = owned->last_commit + min_commit_interval;
   if (busy && owned->last_commit > 0 && runtime.now() < next) co_await runtime.sleep(next - runtime.now());
 }
 
-// Urgent commands don't share a batch with others whose lack of capacity would sink them.
+// If there is no capacity for all commands, the urgent ones get a batch of their own: a batch fails as a
+// whole, so that commands that don't fit would fail the urgent ones too.
 task<> record_store::state::commit_by_urgency(bucket* owned, std::vector<command> commands,
                                               std::size_t bytes) {
   auto self = shared_from_this();
   std::size_t memory = 0;
-  std::vector<command*> urgent, usual;
+  std::vector<command*> urgent, normal;
   for (auto& each : commands) {
-    memory += memory_of(each);
-    (each.urgent ? urgent : usual).push_back(&each);
+    memory += queued_bytes(each);
+    (each.urgent ? urgent : normal).push_back(&each);
   }
   if (owned->store.has_capacity(bytes, false)) {
-    urgent.insert(urgent.end(), usual.begin(), usual.end());
-    usual.clear();
+    urgent.insert(urgent.end(), normal.begin(), normal.end());
+    normal.clear();
   }
   if (!urgent.empty()) co_await self->commit_batch(owned, std::move(urgent), true);
-  if (!usual.empty()) co_await self->commit_batch(owned, std::move(usual), false);
+  if (!normal.empty()) co_await self->commit_batch(owned, std::move(normal), false);
   owned->pending_bytes -= memory;
 }
 
@@ -95,11 +98,11 @@
     auto first = co_await owned->queue.pop(no_timeout);
     if (!first) continue;
     if (first->exclusive) {
-      owned->pending_bytes -= memory_of(*first);
+      owned->pending_bytes -= queued_bytes(*first);
       co_await first->exclusive();
       continue;
     }
-    co_await self->wait_for_company(owned);
+    co_await self->delay_commit(owned);
     std::vector<command> commands;
     std::size_t bytes = first->bytes;
     commands.push_back(std::move(*first));
@@ -108,7 +111,7 @@
            !exclusive) {
       auto next = co_await owned->queue.pop(0);
       if (next && next->exclusive) {
-        owned->pending_bytes -= memory_of(*next);
+        owned->pending_bytes -= queued_bytes(*next);
         exclusive = std::move(next);
       } else if (next) {
         bytes += next->bytes;
--- a/src/replica_storage/record_store.cc
+++ b/src/replica_storage/record_store.cc
@@ -11,13 +11,14 @@
 
 namespace {
 
-// Two voters agree on a record when they hold the same content, or accepted the same ballot. What was only
-// promised, and a voter's own records, don't count.
+// The part of a record in the checksum of its range. Two voters agree on a content when both hold it, and on
+// a register when both accepted the same ballot. Registers with only a promise and a voter's own records
+// count as 0.
 std::uint64_t fingerprint_of(const std::string& record, std::string_view value) {
   if (is_own_record(record)) return 0;
   std::uint64_t hash = hashing::placement_basis;
   auto mix = [&hash](std::uint64_t part) { hash = hashing::fnv1a_step(hash, part) ^ (hash >> 29); };
-  for (unsigned char letter : record) mix(letter);
+  for (unsigned char byte : record) mix(byte);
   if (is_register(record)) {
     auto accepted = unpack_ballots(value).accepted;
     if (accepted.counter == 0) return 0;
@@ -27,10 +28,11 @@
   return hash;
 }
 
-// Contents make up most of the bytes and are read seldom; registers have to be at hand for votes.
+// Contents make up most of the bytes and are rarely read, so that only small ones stay in memory. Registers
+// always do: every vote reads one.
 bool stays_in_memory(const std::string& record, std::size_t bytes) {
-  constexpr std::size_t small = 64;
-  return !is_content(record) || bytes <= small;
+  constexpr std::size_t max_content_bytes_in_memory = 64;
+  return !is_content(record) || bytes <= max_content_bytes_in_memory;
 }
 
 storage::log_store_options bucket_options(const record_store_options& options, int number) {
@@ -44,9 +46,9 @@
   return bucket;
 }
 
-// Lists up to `limit` records with this prefix after `after`; returns the last one, empty once there are no
-// more.
-std::string list_some(const storage::log_store& store, const std::string& prefix, const std::string& after,
+// Lists up to `limit` records that begin with `prefix`, after the key `after` (empty: from the first one).
+// Returns the key of the last one, or an empty string if no more follow.
+std::string list_page(const storage::log_store& store, const std::string& prefix, const std::string& after,
                       int limit, const std::function<void(const storage::listed_record&)>& handle_record) {
   std::string last;
   int listed = 0;
@@ -76,7 +78,8 @@
 
 record_store::record_store(runtime::handle runtime, logging::logger logger, record_store_options options)
     : state_(std::make_shared<state>(runtime, std::move(logger), std::move(options))) {
-  // Queued commands hold what holds the buckets: they are let go, so that the ring is broken.
+  // Queued commands hold shared pointers to the state that owns their queues. Emptying the queues breaks this
+  // reference cycle.
   runtime.on_stop([weak = std::weak_ptr<state>(state_)] {
     auto self = weak.lock();
     if (!self) return;
@@ -124,7 +127,7 @@
       all = all && done;
       continue;
     }
-    // Once the owners run, a reset is a command like any other.
+    // Once the owners run, only they may write, so that the reset is queued as a command.
     runtime::slot<bool> finished(self->runtime);
     command reset;
     reset.exclusive = [self, owned, identity, finished]() -> task<> {
@@ -147,14 +150,14 @@
 }
 
 bucket& record_store::state::bucket_of(const std::string& record) {
-  // Program records are small and written often: together they share their syncs.
+  // Program records are small and written often: in one bucket they share syncs.
   if (record.starts_with(program_record_prefix)) return *buckets[0];
   if (record.starts_with(turn_record_prefix)) return *buckets[bucket_of_turn(record).value_or(turn_bucket)];
   return *buckets[hashing::fnv1a(record, hashing::placement_basis) % buckets.size()];
 }
 
 void record_store::state::choose_turn_bucket() {
-  // Not beside the program records, if there is another one.
+  // Bucket 0 holds the program records; it takes turn records only if it is the only bucket.
   std::size_t best = buckets.size() > 1 ? 1 : 0;
   for (std::size_t number = best; number < buckets.size(); ++number)
     if (buckets[number]->store.live_bytes() < buckets[best]->store.live_bytes()) best = number;
@@ -165,9 +168,9 @@
   if (!record.starts_with(turn_record_prefix)) return bucket_of(record);
   if (auto number = bucket_of_turn(record)) return *buckets[*number];
   auto& current = *buckets[turn_bucket];
-  auto max_bytes = static_cast<std::size_t>(options.limit_bytes / options.bucket_count / 16);
-  bool beside_programs = turn_bucket == 0 && buckets.size() > 1;
-  if (beside_programs || current.turn_bytes_written > max_bytes ||
+  auto max_turn_bytes = static_cast<std::size_t>(options.limit_bytes / options.bucket_count / 16);
+  bool shared_with_programs = turn_bucket == 0 && buckets.size() > 1;
+  if (shared_with_programs || current.turn_bytes_written > max_turn_bytes ||
       !current.store.has_capacity(bytes, false)) {
     current.turn_bytes_written = 0;
     choose_turn_bucket();
@@ -185,13 +188,13 @@
 const std::vector<std::unique_ptr<bucket>>& record_store::buckets() const { return state_->buckets; }
 
 bool record_store::may_queue(std::size_t bytes, bool urgent) const {
-  constexpr std::size_t percent_of_new_work = 75;
+  constexpr std::size_t normal_limit_percent = 75;
   std::size_t pending = 0;
   for (auto& each : state_->buckets) pending += each->pending_bytes;
-  // A value that alone is larger than the limit has to be taken some time.
+  // A command that alone exceeds the limit is accepted when nothing is pending: otherwise it could never run.
   if (pending == 0) return true;
   auto limit = state_->options.max_pending_bytes;
-  return pending + bytes <= (urgent ? limit : limit * percent_of_new_work / 100);
+  return pending + bytes <= (urgent ? limit : limit * normal_limit_percent / 100);
 }
 
 std::optional<std::string> record_store::read(const std::string& record) const {
@@ -231,7 +234,7 @@
 
 task<bool> record_store::remove(std::vector<std::string> records) {
   auto self = state_;
-  // All at once, so that they share syncs.
+  // All removals are queued before any is awaited, so that they share syncs.
   std::vector<runtime::slot<bool>> waits;
   for (auto& record : records) {
     runtime::slot<bool> done(self->runtime);
@@ -270,8 +273,8 @@
   }
   int removed = 0;
   for (auto& wait : waits) {
-    bool gone = co_await wait.wait();
-    removed += gone ? 1 : 0;
+    bool success = co_await wait.wait();
+    removed += success ? 1 : 0;
   }
   co_return removed;
 }
@@ -282,7 +285,7 @@
   auto& store = state_->buckets[static_cast<std::size_t>(bucket_number)]->store;
   std::vector<std::string> records;
   auto take = [&records](const storage::listed_record& record) { records.push_back(record.key); };
-  std::string last = list_some(store, prefix, after, limit, take);
+  std::string last = list_page(store, prefix, after, limit, take);
   for (auto& record : records)
     if (auto bytes = store.read(record)) handle_record(record, *bytes);
   return last;
@@ -292,7 +295,7 @@
     int bucket_number, const std::string& prefix, const std::string& after, int limit,
     const std::function<void(const std::string& record, std::int64_t attribute)>& handle_record) const {
   auto& store = state_->buckets[static_cast<std::size_t>(bucket_number)]->store;
-  return list_some(store, prefix, after, limit, [&handle_record](const storage::listed_record& record) {
+  return list_page(store, prefix, after, limit, [&handle_record](const storage::listed_record& record) {
     handle_record(record.key, record.attribute);
   });
 }
