--- a/src/storage/compaction.cc
+++ b/src/storage/compaction.cc
@@ -6,9 +6,11 @@
 namespace herontally::storage {
 
 namespace {
-// Gathered in memory before it is written.
+// The writer gathers this many bytes in memory before it appends them to the file.
 constexpr std::size_t chunk_bytes = 64 << 10;
 
+// `prefix` is the checksum of all bytes before the value; returns it continued over the value. A value that
+// is only on disk isn't read: its own checksum is in the index.
 std::uint32_t checksum_with(const index_entry& entry, std::uint32_t prefix) {
   if (entry.in_memory) return checksum(entry.value, prefix);
   return combined_checksum(prefix, entry.checksum, entry.value_bytes);
@@ -19,7 +21,7 @@
   header.generation = generation;
   for (auto& [key, entry] : records.entries())
     header.payload_bytes += change_header_bytes(key) + entry.value_bytes;
-  header.checksum = header.seed();
+  header.checksum = header.header_checksum();
   for (auto& [key, entry] : records.entries()) {
     header.checksum = checksum(pack_change_header(key, entry.value_bytes), header.checksum);
     header.checksum = checksum_with(entry, header.checksum);
@@ -27,28 +29,29 @@
   return header;
 }
 
-// Writes a file anew, chunk by chunk.
+// Replaces a file, chunk by chunk. The caller flushes when `full`, and once at the end.
 struct chunked_writer {
   const runtime::disk_table& disk;
   std::string file, pending;
-  bool begun = false;
+  bool created = false;
 
   bool full() const { return pending.size() >= chunk_bytes; }
   std::optional<runtime::disk_error> flush() {
-    auto failed = begun ? disk.append(file, pending) : disk.replace(file, pending);
-    begun = true;
+    auto failed = created ? disk.append(file, pending) : disk.replace(file, pending);
+    created = true;
     pending.clear();
     return failed;
   }
 };
 
-// Reads the values that aren't in memory. Those in the slot lie there in the order of their keys, so that one
-// read brings many.
+// Reads the values that aren't in memory. The current slot has its values in key order, so that one buffered
+// read fetches many of them.
 class value_reader {
  public:
   explicit value_reader(log_store::state* self)
       : self_(self), slot_(self->disk(), self->slot_file(self->slot)) {}
-  // False when the value can't be read, or the record is damaged.
+  // Appends the value to `out`. False if it can't be read; if its checksum fails, the entry is also marked as
+  // damaged.
   bool append_to(std::string& out, const std::string& key, const index_entry& entry) {
     if (entry.in_log) {
       auto value = self_->read(key, entry);
@@ -58,7 +61,7 @@
     if (!opened_ && slot_.open()) return false;
     opened_ = true;
     auto value = slot_.at(entry.offset, entry.value_bytes);
-    if (slot_.failed() || !self_->is_intact(key, entry, value)) return false;
+    if (slot_.failed() || !self_->verify_value(key, entry, value)) return false;
     out += value;
     return true;
   }
@@ -75,8 +78,9 @@
   return found == runtime::disk_error::full ? write_result::full : write_result::failed;
 }
 
-// The owner of the store waits for this, so that only reads come between the chunks; they may find a record
-// damaged.
+// Writes all records to a slot file and syncs it. The store's owner waits for this, so that between the
+// chunks other tasks can only read. Such a read may find a record damaged; then the slot has to be written
+// again without that record, since its header has the size and checksum of all of them.
 runtime::task<write_result> write_slot(log_store::state* self, std::string file) {
   self->records.remove_damaged();
   chunked_writer out{self->disk(), file, pack_slot_header(header_of(self->records, self->generation + 1))};
@@ -91,7 +95,7 @@
     }
     if (!out.full()) continue;
     if (auto failed = out.flush()) co_return result_of(*failed);
-    // Other tasks run between the chunks.
+    // Lets other tasks run between the chunks.
     co_await self->runtime.sleep(0);
   }
   if (auto failed = out.flush()) co_return result_of(*failed);
--- a/src/storage/file_reader.cc
+++ b/src/storage/file_reader.cc
@@ -4,7 +4,7 @@
 
 namespace herontally::storage {
 
-// Read at once; a longer part is read in one piece.
+// The least number of bytes that is read at once. A longer part is read in a single call.
 constexpr std::size_t chunk_bytes = 64 << 10;
 
 std::optional<runtime::disk_error> file_reader::open() {
--- a/src/storage/file_reader.h
+++ b/src/storage/file_reader.h
@@ -1,4 +1,4 @@
-// Reads a file from front to back through a buffer of bounded size. Internal to the storage package.
+// Reads a file sequentially through a buffer of bounded size. Internal to the storage module.
 #pragma once
 #include <string_view>
 
@@ -6,15 +6,18 @@
 
 namespace herontally::storage {
 
+// A buffered reader of one file; reads with falling offsets work, but each may refill the buffer.
 class file_reader {
  public:
   file_reader(const runtime::disk_table& disk, std::string file) : disk_(disk), file_(std::move(file)) {}
-  // Looks up the file's size; to be called first.
+  // Determines the file's size. Called before anything else; nothing else may be used if it returns an error.
   std::optional<runtime::disk_error> open();
+  // In bytes, as of `open`.
   std::uint64_t size() const { return size_; }
-  // The bytes of this part of the file, valid until the next call. Empty when the file ends before the end of
-  // the part, or when reading failed, which `failed` then tells.
+  // The bytes of this part of the file; the view is valid until the next call. Empty if the file ends before
+  // the part does, or if reading failed; `failed` tells these apart.
   std::string_view at(std::uint64_t offset, std::size_t length);
+  // Whether any read has failed so far.
   bool failed() const { return failed_; }
 
  private:
--- a/src/storage/format.cc
+++ b/src/storage/format.cc
@@ -6,8 +6,8 @@
 namespace herontally::storage {
 
 namespace {
-constexpr std::uint32_t batch_magic =
-    0x4c425448;  // differs from the slot's, so that neither is read as the other
+// Two different magic numbers, so that a batch is never read as a slot or the other way round.
+constexpr std::uint32_t batch_magic = 0x4c425448;
 constexpr std::uint32_t slot_magic = 0x54534c48;
 constexpr std::size_t flag_bytes = 1, size_bytes = 4;
 
@@ -22,8 +22,8 @@
   return number;
 }
 
-// The part of a batch's head that its checksum covers.
-std::string covered_part(const batch_header& header) {
+// The fields of a batch's header that its checksum covers, packed.
+std::string checksummed_fields(const batch_header& header) {
   std::string covered;
   put(covered, header.generation);
   put(covered, header.sequence);
@@ -55,14 +55,14 @@
 }
 
 change_size size_of_change(std::string_view begin) {
-  std::size_t least = flag_bytes + size_bytes;
-  if (begin.size() < least) return {least, false};
+  std::size_t needed = flag_bytes + size_bytes;
+  if (begin.size() < needed) return {needed, false};
   std::size_t key_bytes = get<std::uint32_t>(begin, flag_bytes);
-  least += key_bytes;
-  if (begin[0] == 0) return {least, true};
-  least += size_bytes;
-  if (begin.size() < least) return {least, false};
-  return {least + get<std::uint32_t>(begin, least - size_bytes), true};
+  needed += key_bytes;
+  if (begin[0] == 0) return {needed, true};
+  needed += size_bytes;
+  if (begin.size() < needed) return {needed, false};
+  return {needed + get<std::uint32_t>(begin, needed - size_bytes), true};
 }
 
 std::optional<change_view> read_change(std::string_view bytes) {
@@ -78,8 +78,8 @@
   return found;
 }
 
-bool batch_header::covers(std::string_view payload) const {
-  return storage::checksum(payload, storage::checksum(covered_part(*this))) == checksum;
+bool batch_header::matches_checksum(std::string_view payload) const {
+  return storage::checksum(payload, storage::checksum(checksummed_fields(*this))) == checksum;
 }
 
 std::string pack_batch(std::uint64_t generation, std::uint64_t sequence, const std::vector<change>& changes) {
@@ -94,7 +94,7 @@
     if (entry.value) payload += *entry.value;
   }
   batch_header header{generation, sequence, static_cast<std::uint32_t>(payload.size()), 0};
-  std::string covered = covered_part(header);
+  std::string covered = checksummed_fields(header);
   std::string out;
   put(out, batch_magic);
   out += covered;
@@ -113,7 +113,7 @@
   return header;
 }
 
-std::uint32_t slot_header::seed() const {
+std::uint32_t slot_header::header_checksum() const {
   std::string covered;
   put(covered, generation);
   put(covered, payload_bytes);
--- a/src/storage/log_store.cc
+++ b/src/storage/log_store.cc
@@ -22,23 +22,26 @@
   return (hashing::fnv1a(key, hashing::placement_basis) >> 40) % range_count;
 }
 
-// A compaction writes everything once more beside the old slot, so that less than half of the limit may be
-// live. The last part of that half is reserved for finishing what was begun.
+// During a compaction the old and the new slot are both on disk, so that less than half of the limit may be
+// live data. What lies between the two limits is reserved for urgent changes, which finish operations already
+// begun.
 constexpr std::int64_t max_live_percent = 45;
-constexpr std::int64_t max_live_percent_of_new_work = 36;
+constexpr std::int64_t max_normal_live_percent = 36;
 
 bool log_store::has_capacity(std::size_t bytes, bool urgent) const {
-  std::int64_t percent = urgent ? max_live_percent : max_live_percent_of_new_work;
+  std::int64_t percent = urgent ? max_live_percent : max_normal_live_percent;
   std::int64_t limit = state_->options.limit_bytes * percent / 100;
   return live_bytes() + static_cast<std::int64_t>(bytes) <= limit;
 }
 
-bool log_store::state::is_intact(const std::string& key, const index_entry& entry, std::string_view bytes) {
+bool log_store::state::verify_value(const std::string& key, const index_entry& entry,
+                                    std::string_view bytes) {
   if (bytes.size() == entry.value_bytes && checksum(bytes) == entry.checksum) return true;
   logger.count("herontally_disk_damaged_records_total");
-  logger.error("a record's value can't be read any more", {{"record", key}});
+  logger.error("record value failed its checksum; the record counts as absent until repaired",
+               {{"record", key}});
   records.mark_damaged(key);
-  // The next commit compacts, which leaves the damaged bytes behind.
+  // The next commit compacts first, and the new slot doesn't contain the damaged bytes.
   must_compact = true;
   return false;
 }
@@ -51,7 +54,7 @@
     logger.count("herontally_disk_read_failures_total");
     return std::nullopt;
   }
-  if (!is_intact(key, entry, *value)) return std::nullopt;
+  if (!verify_value(key, entry, *value)) return std::nullopt;
   return std::move(*value);
 }
 
@@ -85,15 +88,15 @@
 
 namespace {
 
-// A slot whose header can be read; its payload may still turn out to be incomplete.
+// A slot with a valid header; its payload may still prove incomplete.
 struct slot_candidate {
   std::uint64_t generation = 0;
   int number = 0;
 };
 
 struct slot_search {
-  std::vector<slot_candidate> candidates;  // the newest first
-  bool any_file = false;
+  std::vector<slot_candidate> candidates;  // by falling generation
+  bool any_file = false;                   // a slot file exists, with a valid header or not
 };
 
 std::variant<slot_search, error> find_slots(const log_store::state& self) {
@@ -112,7 +115,7 @@
   return found;
 }
 
-// Loads the newest complete slot. False: there is none.
+// Loads the newest complete slot into the index; false if there is none, and the index is then empty.
 std::variant<bool, error> load_newest(log_store::state& self, const std::vector<slot_candidate>& candidates) {
   bool loaded = false;
   for (auto& candidate : candidates) {
@@ -133,6 +136,7 @@
   return loaded;
 }
 
+// Reads one log, and applies its batches to the index if `apply` is set. A missing file counts as empty.
 std::variant<log_contents, error> read_log_file(log_store::state& self, int number, bool apply) {
   file_reader file(self.disk(), self.log_file(number));
   auto failed = file.open();
@@ -143,6 +147,7 @@
   return contents;
 }
 
+// Bytes of keys and values that the changes add; removals add none.
 std::size_t written_bytes(const std::vector<change>& changes) {
   std::size_t bytes = 0;
   for (auto& each : changes) bytes += each.value ? each.key.size() + each.value->size() : 0;
@@ -165,8 +170,9 @@
     auto read = read_log_file(self, number, current);
     if (auto* failed = std::get_if<error>(&read)) return *failed;
     auto& contents = std::get<log_contents>(read);
-    // A log of a newer generation was begun only after its slot had been synced. Without any slot, a log with
-    // complete batches proves the loss of records that had been acknowledged.
+    // A log of a generation is started only after the slot of that generation was synced. So a log that is
+    // newer than the loaded slot proves that synced records were lost, and so does a log with complete
+    // batches if slot files exist but none of them can be loaded.
     bool newer = contents.newest_generation > self.generation;
     if (newer && (loaded || found.any_file)) return error::corrupt;
     if (current && contents.corrupt) return error::corrupt;
@@ -190,13 +196,13 @@
   auto failed = self->disk().append(log_file, batch);
   std::size_t batch_bytes = batch.size();
   batch = std::string();
-  auto begin = self->runtime.now();
+  auto sync_start = self->runtime.now();
   if (!failed && !broken("sync")) failed = co_await self->runtime.sync(log_file);
   self->logger.count("herontally_disk_syncs_total");
   self->logger.count("herontally_disk_sync_microseconds_total",
-                     static_cast<double>(self->runtime.now() - begin));
+                     static_cast<double>(self->runtime.now() - sync_start));
   if (failed) {
-    // What reached the disk is unknown now: nothing may be appended behind it.
+    // It is unknown how much of the batch reached the disk, so that nothing may be appended after it.
     self->must_compact = true;
     self->logger.warn("disk write failed", {{"file", log_file}});
     co_return error_of(*failed);
@@ -222,7 +228,7 @@
 
 runtime::task<std::optional<error>> log_store::wipe() {
   auto* self = state_.get();
-  // From here on nothing can be read from the files.
+  // The index goes first: from here on its offsets into the files are invalid.
   self->records.clear();
   self->must_compact = true;
   for (int number = 0; number < slot_count; ++number) {
--- a/src/storage/record_index.cc
+++ b/src/storage/record_index.cc
@@ -11,13 +11,13 @@
   checksums_.assign(range_count, 0);
 }
 
-void record_index::count_in(const std::string& key, const index_entry& entry) {
+void record_index::add_to_totals(const std::string& key, const index_entry& entry) {
   ++count_;
   live_bytes_ += static_cast<std::int64_t>(key.size() + entry.value_bytes);
   checksums_[entry.range] ^= entry.fingerprint;
 }
 
-void record_index::count_out(const std::string& key, const index_entry& entry) {
+void record_index::subtract_from_totals(const std::string& key, const index_entry& entry) {
   if (entry.damaged) return;
   --count_;
   live_bytes_ -= static_cast<std::int64_t>(key.size() + entry.value_bytes);
@@ -26,7 +26,7 @@
 
 void record_index::put(std::string_view key, std::string_view value, bool in_log, std::uint64_t offset) {
   auto [position, inserted] = entries_.try_emplace(std::string(key));
-  if (!inserted) count_out(position->first, position->second);
+  if (!inserted) subtract_from_totals(position->first, position->second);
   index_entry entry;
   entry.offset = offset;
   entry.in_log = in_log;
@@ -38,20 +38,20 @@
   entry.in_memory = !options_->in_memory || options_->in_memory(position->first, value.size());
   if (entry.in_memory) entry.value = value;
   position->second = std::move(entry);
-  count_in(position->first, position->second);
+  add_to_totals(position->first, position->second);
 }
 
 void record_index::remove(const std::string& key) {
   auto found = entries_.find(key);
   if (found == entries_.end()) return;
-  count_out(found->first, found->second);
+  subtract_from_totals(found->first, found->second);
   entries_.erase(found);
 }
 
 void record_index::mark_damaged(const std::string& key) {
   auto found = entries_.find(key);
   if (found == entries_.end()) return;
-  count_out(found->first, found->second);
+  subtract_from_totals(found->first, found->second);
   found->second.damaged = true;
 }
 
--- a/src/storage/record_index.h
+++ b/src/storage/record_index.h
@@ -1,5 +1,5 @@
-// The records of a store by key: where each value lies on disk, and the values that are kept in memory.
-// Internal to the storage package; the store owns it.
+// The index of a store: for each key the location of the value on disk, and the values that are kept in
+// memory. It does no I/O. Internal to the storage module; each store has one.
 #pragma once
 #include <array>
 #include <map>
@@ -8,6 +8,7 @@
 
 namespace herontally::storage {
 
+// One record. `offset` is that of the value in the log or slot; `checksum` is the value's CRC-32.
 struct index_entry {
   std::string value;  // only while `in_memory`
   std::uint64_t fingerprint = 0, offset = 0;
@@ -15,27 +16,28 @@
   std::uint32_t value_bytes = 0, checksum = 0;
   std::uint8_t range = 0;
   bool in_memory = true;
-  bool in_log = false;   // else in the slot
-  bool damaged = false;  // can't be read any more: as good as absent
+  bool in_log = false;   // the value is in the current log; otherwise in the current slot
+  bool damaged = false;  // the value failed its checksum; the record counts as absent
 };
 
+// Keeps count, bytes and range checksums up to date with every change.
 class record_index {
  public:
   using map = std::map<std::string, index_entry>;
 
   explicit record_index(const log_store_options* options) : options_(options) {}
   void clear();
-  // Inserts or replaces a record whose value lies at this offset of the log or the slot.
+  // Inserts or replaces a record whose value is at this offset of the log or, if not `in_log`, the slot.
   void put(std::string_view key, std::string_view value, bool in_log, std::uint64_t offset);
   void remove(const std::string& key);
-  // Takes the record out of all counts; its entry goes with `remove_damaged`.
+  // Excludes the record from all totals; its entry stays until `remove_damaged`.
   void mark_damaged(const std::string& key);
   void remove_damaged();
-  // Nothing for a damaged record.
+  // nullptr if there is no such record or it is damaged.
   const index_entry* find(const std::string& key) const;
   const map& entries() const { return entries_; }
-  // After a compaction: all records lie in the slot, in the order of their keys, from the payload's first
-  // byte on.
+  // Updates the locations after a compaction: all records are in the slot then, in key order, from the start
+  // of its payload.
   void mark_all_compacted();
 
   std::size_t count() const { return count_; }
@@ -43,8 +45,9 @@
   const std::vector<std::uint64_t>& checksums() const { return checksums_; }
 
  private:
-  void count_in(const std::string& key, const index_entry& entry);
-  void count_out(const std::string& key, const index_entry& entry);
+  // Update the totals when a record is added or removed; damaged records are in no total.
+  void add_to_totals(const std::string& key, const index_entry& entry);
+  void subtract_from_totals(const std::string& key, const index_entry& entry);
 
   const log_store_options* options_;
   map entries_;
--- a/src/storage/recovery.cc
+++ b/src/storage/recovery.cc
@@ -4,7 +4,7 @@
 
 namespace herontally::storage {
 
-// The complete change at this offset of the file, of which no more than `available` bytes are there.
+// The change at this offset of the file; std::nullopt if it isn't complete within the next `available` bytes.
 static std::optional<change_view> change_at(file_reader& file, std::uint64_t offset,
                                             std::uint64_t available) {
   change_size size = size_of_change({});
@@ -21,29 +21,31 @@
 bool load_slot(file_reader& file, record_index& records) {
   auto header = read_slot_header(file.at(0, slot_header_bytes));
   if (!header || file.size() - slot_header_bytes != header->payload_bytes) return false;
-  std::uint32_t sum = header->seed();
+  std::uint32_t running_checksum = header->header_checksum();
   std::uint64_t offset = slot_header_bytes;
   while (offset < file.size()) {
     auto found = change_at(file, offset, file.size() - offset);
     if (!found || !found->value) return false;
     auto bytes = file.at(offset, found->bytes);
-    sum = checksum(bytes, sum);
+    running_checksum = checksum(bytes, running_checksum);
     records.put(found->key, *found->value, false, offset + found->value_offset);
     offset += found->bytes;
   }
-  return sum == header->checksum;
+  return running_checksum == header->checksum;
 }
 
-// The header of the batch that begins here, if its payload is complete.
+// The header of the batch at this offset; std::nullopt if there is none or its payload is incomplete or fails
+// the checksum.
 static std::optional<batch_header> batch_at(file_reader& file, std::uint64_t offset) {
   auto header = read_batch_header(file.at(offset, batch_header_bytes));
   if (!header) return std::nullopt;
   auto payload = file.at(offset + batch_header_bytes, header->payload_bytes);
-  if (payload.size() != header->payload_bytes || !header->covers(payload)) return std::nullopt;
+  if (payload.size() != header->payload_bytes || !header->matches_checksum(payload)) return std::nullopt;
   return header;
 }
 
-// False when the payload isn't made of complete changes.
+// Applies the changes of a batch's payload, from `offset` to `end`, to the index; nullptr only checks them.
+// False if the payload doesn't consist of complete changes.
 static bool apply_batch(file_reader& file, std::uint64_t offset, std::uint64_t end, record_index* records) {
   while (offset < end) {
     auto found = change_at(file, offset, end - offset);
@@ -66,14 +68,15 @@
     std::uint64_t begin = offset + batch_header_bytes;
     bool complete = header && apply_batch(file, begin, begin + header->payload_bytes, nullptr);
     if (!complete) {
-      // Bytes that can't be read are a torn tail only if no complete batch of this generation follows.
+      // Unreadable bytes are a torn tail only if no complete batch of this generation follows. The search for
+      // one continues at the next byte.
       gap = true;
       ++offset;
       continue;
     }
     offset = begin + header->payload_bytes;
     contents.newest_generation = std::max(contents.newest_generation, header->generation);
-    // Batches of an earlier generation are left over from the file's earlier use.
+    // Batches of other generations remain from the file's earlier use.
     if (header->generation != generation) continue;
     if (gap || header->sequence != expected) contents.corrupt = true;
     ++expected;
--- a/tests/storage_memory_test.cc
+++ b/tests/storage_memory_test.cc
@@ -1,4 +1,5 @@
-// A store of the size of a full day on real files: what it holds in memory, and what a fold and a start need.
+// Memory use of a log store with a full day's records on real files: what it holds permanently, and the peak
+// during compaction and recovery.
 #include <stdlib.h>
 
 #include <catch2/catch.hpp>
@@ -14,10 +15,11 @@
 
 constexpr int record_total = 40000, records_in_batch = 100;
 constexpr std::size_t value_bytes = 1024;
-// An index entry with its key, as the allocator rounds them.
-constexpr std::size_t most_for_record = 224;
-// A batch as it is made, packed and checked, a piece of a fold, and the reader's window.
-constexpr std::size_t most_for_work = 512 << 10;
+// Bytes of an index entry with its key, rounded up as by the allocator.
+constexpr std::size_t max_bytes_per_record = 224;
+// Temporary bytes: a batch while it is made, packed and checked, a chunk of a compaction, and the read
+// buffer.
+constexpr std::size_t max_temporary_bytes = 512 << 10;
 
 struct temporary_folder {
   std::string path;
@@ -28,13 +30,13 @@
   ~temporary_folder() { std::filesystem::remove_all(path); }
 };
 
-storage::log_store_options day_store() {
-  storage::log_store_options choice;
-  choice.prefix = "b";
-  choice.limit_bytes = 350 << 20;
-  choice.log_bytes_before_compaction = 4 << 20;
-  choice.in_memory = [](const std::string& key, std::size_t) { return key[0] != 'c'; };
-  return choice;
+storage::log_store_options day_store_options() {
+  storage::log_store_options options;
+  options.prefix = "b";
+  options.limit_bytes = 350 << 20;
+  options.log_bytes_before_compaction = 4 << 20;
+  options.in_memory = [](const std::string& key, std::size_t) { return key[0] != 'c'; };
+  return options;
 }
 
 std::string key_of(int number) { return "c/turn/0123456789abcdef0123456789abcdef" + std::to_string(number); }
@@ -56,14 +58,14 @@
 
 }  // namespace
 
-TEST_CASE("the values of a full day stay on disk, and a fold and a start need little memory") {
+TEST_CASE("a full day's values stay on disk, and compaction and recovery use little memory") {
   temporary_folder folder;
   logging::logger logger("m", [](auto&, auto&) {});
-  constexpr std::size_t most_live = record_total * most_for_record;
+  constexpr std::size_t max_live_bytes = record_total * max_bytes_per_record;
   {
     runtime::event_loop process(folder.path);
     auto before = tests::heap_now().live;
-    storage::log_store store(process.runtime(), day_store(), logger);
+    storage::log_store store(process.runtime(), day_store_options(), logger);
     REQUIRE_FALSE(store.recover());
     int written = 0;
     tests::reset_heap_peak();
@@ -73,18 +75,18 @@
     REQUIRE(logger.value("herontally_disk_compactions_total") > 5);
     auto use = tests::heap_now();
     INFO("live " << use.live - before << ", peak " << use.peak - before);
-    REQUIRE(use.live - before < most_live);
-    REQUIRE(use.peak - before < most_live + most_for_work);
+    REQUIRE(use.live - before < max_live_bytes);
+    REQUIRE(use.peak - before < max_live_bytes + max_temporary_bytes);
   }
   runtime::event_loop process(folder.path);
   auto before = tests::heap_now().live;
   tests::reset_heap_peak();
-  storage::log_store store(process.runtime(), day_store(), logger);
+  storage::log_store store(process.runtime(), day_store_options(), logger);
   REQUIRE_FALSE(store.recover());
   auto use = tests::heap_now();
   INFO("live " << use.live - before << ", peak " << use.peak - before);
-  REQUIRE(use.live - before < most_live);
-  REQUIRE(use.peak - before < most_live + most_for_work);
+  REQUIRE(use.live - before < max_live_bytes);
+  REQUIRE(use.peak - before < max_live_bytes + max_temporary_bytes);
   REQUIRE(store.record_count() == record_total);
   for (int number = 0; number < record_total; number += 997)
     REQUIRE(store.read(key_of(number)) == value_of(number));
