--- a/src/settings/flags.cc
+++ b/src/settings/flags.cc
@@ -1,3 +1,4 @@
+// Parsing of command lines for daemons and tools; the flags are declared with ABSL_FLAG in each program.
 #include <absl/flags/reflection.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -13,26 +14,27 @@
   exit(2);
 }
 
-// Flags that were renamed, and what they are called now.
+// Old names of renamed flags and their new names, so that the error message for an old name gives the new
+// one.
 static const std::map<std::string, std::string> renamed_flags{{"door", "proxy"}, {"doors", "proxies"}};
 
 static std::string base_name(const std::string& path) { return path.substr(path.rfind('/') + 1); }
 
-std::vector<std::string> parse_flags(int count, char** words, const std::string& usage) {
-  std::string program = base_name(words[0]);
-  std::vector<std::string> rest;
+std::vector<std::string> parse_flags(int count, char** arguments, const std::string& usage) {
+  std::string program = base_name(arguments[0]);
+  std::vector<std::string> positional;
   for (int position = 1; position < count; ++position) {
-    std::string word = words[position];
-    if (word == "--help" || word == "-h") {
+    std::string argument = arguments[position];
+    if (argument == "--help" || argument == "-h") {
       printf("%s", usage.c_str());
       exit(0);
     }
-    if (word.rfind("--", 0) != 0) {
-      rest.push_back(word);
+    if (argument.rfind("--", 0) != 0) {
+      positional.push_back(argument);
       continue;
     }
-    auto equals = word.find('=');
-    std::string flag = word.substr(2, equals == std::string::npos ? std::string::npos : equals - 2);
+    auto equals = argument.find('=');
+    std::string flag = argument.substr(2, equals == std::string::npos ? std::string::npos : equals - 2);
     auto* found = absl::FindCommandLineFlag(flag);
     auto renamed = renamed_flags.find(flag);
     if (!found && renamed != renamed_flags.end())
@@ -40,17 +42,18 @@
     if (!found) end_with(program, {"--" + flag, "is not a flag; see --help"});
     std::string value;
     if (equals != std::string::npos)
-      value = word.substr(equals + 1);
+      value = argument.substr(equals + 1);
     else if (found->IsOfType<bool>())
       value = "true";
     else if (position + 1 < count)
-      value = words[++position];
+      value = arguments[++position];
     else
       end_with(program, {"--" + flag, "needs a value"});
-    std::string why;
-    if (!found->ParseFrom(value, &why)) end_with(program, {"--" + flag, "does not take \"" + value + "\""});
+    std::string parse_error;
+    if (!found->ParseFrom(value, &parse_error))
+      end_with(program, {"--" + flag, "does not take \"" + value + "\""});
   }
-  return rest;
+  return positional;
 }
 
 }  // namespace herontally::settings
--- a/src/settings/settings.cc
+++ b/src/settings/settings.cc
@@ -15,7 +15,7 @@
 bool is_address(const std::string& text) {
   sockaddr_storage parsed{};
   int length = sizeof parsed;
-  // Host names are not taken: processes know each other by IP number and port alone.
+  // Host names are refused: processes identify each other by IP address and port alone.
   if (evutil_parse_sockaddr_port(text.c_str(), reinterpret_cast<sockaddr*>(&parsed), &length) != 0)
     return false;
   auto colon = text.rfind(':');
@@ -23,12 +23,14 @@
   if (parsed.ss_family == AF_INET && text.find(':') != colon) return false;
   if (parsed.ss_family == AF_INET6 && text.front() != '[') return false;
   auto port = text.substr(colon + 1);
-  return std::all_of(port.begin(), port.end(), [](unsigned char letter) { return std::isdigit(letter); }) &&
+  return std::all_of(port.begin(), port.end(),
+                     [](unsigned char character) { return std::isdigit(character); }) &&
          port.size() <= 5 && std::stoi(port) >= 1 && std::stoi(port) <= 65535;
 }
 
 namespace {
 
+// Reads and checks typed fields of a JSON object. Reading goes on after a fault; only the first one is kept.
 struct reader {
   const json& document;
   std::optional<fault> found;
@@ -53,14 +55,15 @@
     if (value.empty() && required) fail(field, "is missing");
     return value;
   }
-  std::int64_t number(const std::string& field, std::int64_t standard, std::int64_t least,
-                      std::int64_t most) {
+  std::int64_t number(const std::string& field, std::int64_t default_value, std::int64_t minimum,
+                      std::int64_t maximum) {
     auto entry = document.find(field);
-    if (entry == document.end()) return standard;
-    if (!entry->is_number_integer() || entry->get<std::int64_t>() < least ||
-        entry->get<std::int64_t>() > most) {
-      fail(field, "must be a whole number from " + std::to_string(least) + " to " + std::to_string(most));
-      return standard;
+    if (entry == document.end()) return default_value;
+    if (!entry->is_number_integer() || entry->get<std::int64_t>() < minimum ||
+        entry->get<std::int64_t>() > maximum) {
+      fail(field,
+           "must be a whole number from " + std::to_string(minimum) + " to " + std::to_string(maximum));
+      return default_value;
     }
     return entry->get<std::int64_t>();
   }
@@ -69,13 +72,14 @@
 void read_seeds(reader& from, settings& out) {
   auto entry = from.document.find("seeds");
   if (entry == from.document.end()) return from.fail("seeds", "is missing");
-  if (!entry->is_array() || entry->size() != 3) return from.fail("seeds", "must list three addresses");
+  if (!entry->is_array() || entry->size() != 3)
+    return from.fail("seeds", "must be a list of three addresses");
   std::set<std::string> seen;
   for (auto& seed : *entry) {
     if (!seed.is_string() || !is_address(seed.get<std::string>()))
       return from.fail("seeds", "must be ip:port, not " + seed.dump());
     if (!seen.insert(seed.get<std::string>()).second)
-      return from.fail("seeds", "names " + seed.dump() + " twice");
+      return from.fail("seeds", "lists " + seed.dump() + " twice");
     out.seeds.push_back(seed.get<std::string>());
   }
 }
@@ -88,7 +92,7 @@
     if (!item.is_object() || !item.contains("token") || !item.contains("partner") ||
         !item["token"].is_string() || !item["partner"].is_string() ||
         item["token"].get<std::string>().size() < 8)
-      return from.fail("operators", "needs a token of 8 characters or more and a partner in each entry");
+      return from.fail("operators", "must have a token of at least 8 characters and a partner in each entry");
     out.operators.push_back({item["token"], item["partner"]});
   }
 }
@@ -97,16 +101,16 @@
 
 std::variant<settings, fault> from_json(const json& document, const std::string& role) {
   if (!document.is_object()) return fault{"settings", "must be a JSON object"};
-  static const std::set<std::string> known{"name",           "zone",
-                                           "inner",          "http",
-                                           "seeds",          "data",
-                                           "agent",          "platform",
-                                           "log_level",      "operators",
-                                           "requests",       "queue",
-                                           "disk_megabytes", "notice_milliseconds",
-                                           "machine_losses", "zone_losses"};
+  static const std::set<std::string> known_fields{"name",           "zone",
+                                                  "inner",          "http",
+                                                  "seeds",          "data",
+                                                  "agent",          "platform",
+                                                  "log_level",      "operators",
+                                                  "requests",       "queue",
+                                                  "disk_megabytes", "notice_milliseconds",
+                                                  "machine_losses", "zone_losses"};
   for (auto& [field, value] : document.items())
-    if (!known.contains(field)) return fault{field, "is not a setting"};
+    if (!known_fields.contains(field)) return fault{field, "is not a known setting"};
   reader from{document, std::nullopt};
   settings out;
   out.name = from.text("name", true);
@@ -116,9 +120,9 @@
   out.inner = from.address("inner", true);
   out.http = from.address("http", true);
   read_seeds(from, out);
-  bool keeps = role == "control_node" || role == "storage_node";
-  out.data = from.text("data", keeps);
-  if (keeps && out.data.empty()) from.fail("data", "is missing");
+  bool needs_data = role == "control_node" || role == "storage_node";
+  out.data = from.text("data", needs_data);
+  if (needs_data && out.data.empty()) from.fail("data", "is missing");
   out.agent = from.address("agent", role == "proxy");
   out.platform = from.address("platform", role == "control_node" || role == "agent");
   read_operators(from, out);
