--- a/src/logging/logging.cc
+++ b/src/logging/logging.cc
@@ -22,28 +22,30 @@
 void start(const std::string& program, const std::string& level) {
   static log4cplus::Initializer initializer;
   log4cplus::SharedAppenderPtr appender(new log4cplus::ConsoleAppender(true, true));
-  // The whole line is JSON already: the layout adds nothing to it.
+  // The message is a complete JSON line; the layout adds only the line break.
   appender->setLayout(std::unique_ptr<log4cplus::Layout>(new log4cplus::PatternLayout("%m%n")));
   root_logger().addAppender(appender);
   root_logger().setLogLevel(log4cplus::getLogLevelManager().fromString(level));
   (void)program;
 }
 
+// The value of a counter or gauge.
 struct metric {
   double value = 0;
   bool is_counter = false;
 };
 
-struct view_hash {
+// Lets the map find names given as std::string_view without making strings of them.
+struct string_view_hash {
   using is_transparent = void;
   std::size_t operator()(std::string_view text) const { return std::hash<std::string_view>{}(text); }
 };
 
 struct logger::state {
   std::string node;
-  sink out;
-  // Looked up by views, so that counting allocates nothing.
-  std::unordered_map<std::string, metric, view_hash, std::equal_to<>> metrics;
+  sink line_sink;
+  // Looked up by string_view, so that counting in an existing metric allocates nothing.
+  std::unordered_map<std::string, metric, string_view_hash, std::equal_to<>> metrics;
 
   metric& metric_of(std::string_view name) {
     auto found = metrics.find(name);
@@ -52,19 +54,19 @@
   }
 };
 
-logger::logger(std::string node, sink out) : state_(std::make_shared<state>()) {
+logger::logger(std::string node, sink line_sink) : state_(std::make_shared<state>()) {
   state_->node = std::move(node);
-  state_->out = std::move(out);
+  state_->line_sink = std::move(line_sink);
 }
 
 static void emit(log4cplus::LogLevel level, const char* level_name, const std::string& node,
-                 const logger::sink& out, const std::string& what, json fields) {
-  // Nothing is built for a level that nobody reads.
-  if (!out && !root_logger().isEnabledFor(level)) return;
+                 const logger::sink& line_sink, const std::string& event, json fields) {
+  // Disabled levels return before any text is built.
+  if (!line_sink && !root_logger().isEnabledFor(level)) return;
   fields["level"] = level_name;
   fields["node"] = node;
-  fields["event"] = what;
-  if (out) return out(level_name, fields);
+  fields["event"] = event;
+  if (line_sink) return line_sink(level_name, fields);
   fields["time_us"] = std::chrono::duration_cast<std::chrono::microseconds>(
                           std::chrono::system_clock::now().time_since_epoch())
                           .count();
@@ -72,19 +74,19 @@
 }
 
 bool logger::logs_info() const {
-  return state_->out || root_logger().isEnabledFor(log4cplus::INFO_LOG_LEVEL);
+  return state_->line_sink || root_logger().isEnabledFor(log4cplus::INFO_LOG_LEVEL);
 }
-void logger::debug(const std::string& what, json fields) const {
-  emit(log4cplus::DEBUG_LOG_LEVEL, "debug", state_->node, state_->out, what, std::move(fields));
+void logger::debug(const std::string& event, json fields) const {
+  emit(log4cplus::DEBUG_LOG_LEVEL, "debug", state_->node, state_->line_sink, event, std::move(fields));
 }
-void logger::info(const std::string& what, json fields) const {
-  emit(log4cplus::INFO_LOG_LEVEL, "info", state_->node, state_->out, what, std::move(fields));
+void logger::info(const std::string& event, json fields) const {
+  emit(log4cplus::INFO_LOG_LEVEL, "info", state_->node, state_->line_sink, event, std::move(fields));
 }
-void logger::warn(const std::string& what, json fields) const {
-  emit(log4cplus::WARN_LOG_LEVEL, "warn", state_->node, state_->out, what, std::move(fields));
+void logger::warn(const std::string& event, json fields) const {
+  emit(log4cplus::WARN_LOG_LEVEL, "warn", state_->node, state_->line_sink, event, std::move(fields));
 }
-void logger::error(const std::string& what, json fields) const {
-  emit(log4cplus::ERROR_LOG_LEVEL, "error", state_->node, state_->out, what, std::move(fields));
+void logger::error(const std::string& event, json fields) const {
+  emit(log4cplus::ERROR_LOG_LEVEL, "error", state_->node, state_->line_sink, event, std::move(fields));
 }
 
 void logger::count(std::string_view name, double amount) const {
@@ -100,13 +102,15 @@
 
 std::string logger::metrics() const {
   std::string text;
-  std::string family;
+  std::string previous_family;
   std::map<std::string_view, metric> sorted(state_->metrics.begin(), state_->metrics.end());
   for (auto& [name, sample] : sorted) {
-    std::string plain(name.substr(0, name.find('{')));
-    // One TYPE line for each family, before its first sample.
-    if (plain != family) text += "# TYPE " + plain + (sample.is_counter ? " counter\n" : " gauge\n");
-    family = plain;
+    std::string family(name.substr(0, name.find('{')));
+    // A metric family has one TYPE line, before its first sample. A family's name is the part before the
+    // labels.
+    if (family != previous_family)
+      text += "# TYPE " + family + (sample.is_counter ? " counter\n" : " gauge\n");
+    previous_family = family;
     char number[40];
     snprintf(number, sizeof number, " %.17g\n", sample.value);
     text.append(name).append(number);
