--- a/src/runtime/breaks.h
+++ b/src/runtime/breaks.h
@@ -1,5 +1,6 @@
-// Deliberate breaks of protecting mechanisms. They exist only in the build that shows that the oracle notices
-// them; everywhere else this is a constant and the compiler removes what hangs on it.
+// Switches that disable a protective mechanism by name, to show that the oracles detect its absence. They
+// exist only in builds with HERONTALLY_BREAKS; elsewhere broken() is constant and the compiler removes the
+// code that depends on it.
 #pragma once
 #include <set>
 #include <string>
@@ -7,9 +8,10 @@
 namespace herontally {
 
 #ifdef HERONTALLY_BREAKS
+// The names of the disabled mechanisms.
 inline std::set<std::string>& breaks() {
-  static std::set<std::string> chosen;
-  return chosen;
+  static std::set<std::string> names;
+  return names;
 }
 inline bool broken(const char* name) { return breaks().count(name) > 0; }
 #else
--- a/src/runtime/data_files.cc
+++ b/src/runtime/data_files.cc
@@ -1,4 +1,5 @@
-// Files under one data folder. A change lasts only once the file and, when it is new, the folder are synced.
+// Implements disk_table with files of one data directory. A change is durable only after a sync of the file
+// and, when the file is new, of the directory.
 #include <errno.h>
 #include <fcntl.h>
 #include <sys/stat.h>
@@ -62,18 +63,18 @@
 }
 }  // namespace
 
-void bind_files(std::string folder, backend& table) {
-  if (!folder.empty()) mkdir(folder.c_str(), 0700);
-  auto known = std::make_shared<std::set<std::string>>();
-  auto path = [folder](const std::string& name) { return folder + "/" + name; };
+void bind_files(std::string directory, backend& table) {
+  if (!directory.empty()) mkdir(directory.c_str(), 0700);
+  auto synced_entries = std::make_shared<std::set<std::string>>();
+  auto path = [directory](const std::string& name) { return directory + "/" + name; };
   table.disk.read_at = [path](const std::string& name, std::uint64_t offset, std::size_t length) {
     return read_range(path(name), offset, length);
   };
   table.disk.size = [path](const std::string& name) -> std::variant<std::uint64_t, disk_error> {
-    struct stat found {};
-    if (stat(path(name).c_str(), &found) != 0)
+    struct stat status {};
+    if (stat(path(name).c_str(), &status) != 0)
       return errno == ENOENT ? disk_error::missing : disk_error::failed;
-    return static_cast<std::uint64_t>(found.st_size);
+    return static_cast<std::uint64_t>(status.st_size);
   };
   table.disk.append = [path](const std::string& name, const std::string& bytes) {
     return write_all(path(name), O_WRONLY | O_CREAT | O_APPEND, bytes);
@@ -81,13 +82,13 @@
   table.disk.replace = [path](const std::string& name, const std::string& bytes) {
     return write_all(path(name), O_WRONLY | O_CREAT | O_TRUNC, bytes);
   };
-  table.disk.sync = [path, folder, known, after = table.after](
+  table.disk.sync = [path, directory, synced_entries, after = table.after](
                         const std::string& name, std::function<void(std::optional<disk_error>)> done) {
     auto error = sync_path(path(name), O_RDONLY);
-    // The folder's own entry for a new file needs a sync too.
-    if (!error && !known->count(name)) {
-      error = sync_path(folder, O_RDONLY | O_DIRECTORY);
-      if (!error) known->insert(name);
+    // A new file also needs a sync of the directory, which holds its entry.
+    if (!error && !synced_entries->count(name)) {
+      error = sync_path(directory, O_RDONLY | O_DIRECTORY);
+      if (!error) synced_entries->insert(name);
     }
     after(0, [done, error] { done(error); });
   };
--- a/src/runtime/event_loop.cc
+++ b/src/runtime/event_loop.cc
@@ -1,3 +1,4 @@
+// Builds the runtime's function table over libevent: clocks, timers, signals and the network and disk parts.
 #include "runtime/event_loop.h"
 
 #include <event2/event.h>
@@ -13,16 +14,16 @@
 namespace herontally::runtime {
 
 namespace {
-microseconds read_clock(clockid_t which) {
-  timespec moment{};
-  clock_gettime(which, &moment);
-  return moment.tv_sec * second + moment.tv_nsec / 1000;
+microseconds read_clock(clockid_t clock) {
+  timespec time{};
+  clock_gettime(clock, &time);
+  return time.tv_sec * second + time.tv_nsec / 1000;
 }
 }  // namespace
 
 struct timer_entry {
-  struct event* alarm = nullptr;
-  std::function<void()> work;
+  struct event* timer_event = nullptr;
+  std::function<void()> callback;
 };
 
 struct timer_table {
@@ -31,28 +32,29 @@
   std::uint64_t next = 1;
 };
 
-struct ready_work {
-  std::uint64_t number = 0;
-  std::function<void()> work;  // empty: it was cancelled
+struct ready_callback {
+  std::uint64_t id = 0;
+  std::function<void()> callback;  // empty once cancelled
 };
 
-// Work without a delay, such as the waking of tasks. It runs in its order, before the loop asks the kernel
-// for more: a timer for each would cost a pass of the loop and its system calls.
+// Callbacks without a delay, such as the resumption of tasks. They run in the order of posting before the
+// loop polls the kernel again; a timer for each would cost a pass of the loop and its system calls.
 class ready_queue {
  public:
-  explicit ready_queue(event_base* base) : base_(base), drain_(event_new(base, -1, 0, on_drain, this)) {}
-  ~ready_queue() { event_free(drain_); }
+  explicit ready_queue(event_base* base)
+      : base_(base), drain_event_(event_new(base, -1, 0, on_drain, this)) {}
+  ~ready_queue() { event_free(drain_event_); }
   ready_queue(const ready_queue&) = delete;
 
-  void push(std::uint64_t number, std::function<void()> work) {
-    if (queue_.empty() && !draining_) event_active(drain_, EV_TIMEOUT, 0);
-    queue_.push_back({number, std::move(work)});
+  void push(std::uint64_t id, std::function<void()> callback) {
+    if (queue_.empty() && !draining_) event_active(drain_event_, EV_TIMEOUT, 0);
+    queue_.push_back({id, std::move(callback)});
   }
-  void cancel(std::uint64_t number) {
+  void cancel(std::uint64_t id) {
     for (auto& each : queue_)
-      if (each.number == number) each.work = nullptr;
+      if (each.id == id) each.callback = nullptr;
   }
-  // What the work holds may cancel or queue more as it goes.
+  // Destroying a callback may cancel or post others, hence the loop.
   void clear() {
     while (!queue_.empty()) {
       auto dropped = std::exchange(queue_, {});
@@ -62,54 +64,54 @@
  private:
   static void on_drain(evutil_socket_t, short, void* raw) { static_cast<ready_queue*>(raw)->drain(); }
   void drain() {
-    // More waits for the sockets to have their turn.
-    constexpr int max_in_turn = 1000;
+    // Further callbacks wait until the loop has polled the sockets.
+    constexpr int max_per_iteration = 1000;
     draining_ = true;
     bool stopped = false;
-    for (int done = 0; done < max_in_turn && !queue_.empty() && !stopped; ++done) {
-      auto work = std::move(queue_.front().work);
+    for (int done = 0; done < max_per_iteration && !queue_.empty() && !stopped; ++done) {
+      auto callback = std::move(queue_.front().callback);
       queue_.pop_front();
-      if (work) work();
+      if (callback) callback();
       stopped = event_base_got_break(base_);
     }
     draining_ = false;
-    constexpr timeval at_once{0, 0};
-    if (!queue_.empty()) event_add(drain_, &at_once);
+    constexpr timeval no_delay{0, 0};
+    if (!queue_.empty()) event_add(drain_event_, &no_delay);
   }
 
   event_base* base_;
-  struct event* drain_;
-  std::deque<ready_work> queue_;
+  struct event* drain_event_;
+  std::deque<ready_callback> queue_;
   bool draining_ = false;
 };
 
-struct timer_argument {
+struct timer_context {
   timer_table* table;
-  std::uint64_t number;
+  std::uint64_t id;
 };
 
-static void fire(evutil_socket_t, short, void* raw) {
-  std::unique_ptr<timer_argument> argument(static_cast<timer_argument*>(raw));
-  auto found = argument->table->entries.find(argument->number);
-  if (found == argument->table->entries.end()) return;
-  auto work = std::move(found->second.work);
-  event_free(found->second.alarm);
-  argument->table->entries.erase(found);
-  work();
+static void on_timer(evutil_socket_t, short, void* raw) {
+  std::unique_ptr<timer_context> context(static_cast<timer_context*>(raw));
+  auto found = context->table->entries.find(context->id);
+  if (found == context->table->entries.end()) return;
+  auto callback = std::move(found->second.callback);
+  event_free(found->second.timer_event);
+  context->table->entries.erase(found);
+  callback();
 }
 
 struct event_loop::state {
   event_base* base = nullptr;
   timer_table timers;
   std::unique_ptr<ready_queue> ready;
-  std::shared_ptr<channel_part> channels;
-  std::shared_ptr<http_server_part> server;
-  std::shared_ptr<http_client_part> client;
+  std::shared_ptr<rpc_transport> channels;
+  std::shared_ptr<http_server> server;
+  std::shared_ptr<http_client> client;
   std::optional<handle> runtime;
-  std::function<void()> notice, reload;
-  struct event* hangup = nullptr;
-  struct event* term = nullptr;
-  struct event* interrupt = nullptr;
+  std::function<void()> on_termination, on_hangup;
+  struct event* sighup_event = nullptr;
+  struct event* sigterm_event = nullptr;
+  struct event* sigint_event = nullptr;
 
   void bind_signals();
 };
@@ -120,30 +122,30 @@
 }
 
 static void bind_clocks(backend& table) {
-  // BOOTTIME goes on while the machine is suspended, so a lease can't outlive a sleep unnoticed.
+  // CLOCK_BOOTTIME advances while the machine is suspended, so a lease can't outlive a suspension unnoticed.
   table.now = [] { return read_clock(CLOCK_BOOTTIME); };
   table.wall = [] { return read_clock(CLOCK_REALTIME); };
 }
 
 static void bind_timers(timer_table* timers, ready_queue* ready, backend& table) {
-  table.after = [timers, ready](microseconds delay, std::function<void()> work) {
-    std::uint64_t number = timers->next++;
+  table.after = [timers, ready](microseconds delay, std::function<void()> callback) {
+    std::uint64_t id = timers->next++;
     if (delay <= 0) {
-      ready->push(number, std::move(work));
-      return number;
+      ready->push(id, std::move(callback));
+      return id;
     }
-    auto* argument = new timer_argument{timers, number};
-    auto* alarm = event_new(timers->base, -1, 0, fire, argument);
-    timeval wait{static_cast<time_t>(delay / second), static_cast<suseconds_t>(delay % second)};
-    event_add(alarm, &wait);
-    timers->entries[number] = timer_entry{alarm, std::move(work)};
-    return number;
+    auto* context = new timer_context{timers, id};
+    auto* timer_event = event_new(timers->base, -1, 0, on_timer, context);
+    timeval timeout{static_cast<time_t>(delay / second), static_cast<suseconds_t>(delay % second)};
+    event_add(timer_event, &timeout);
+    timers->entries[id] = timer_entry{timer_event, std::move(callback)};
+    return id;
   };
-  table.cancel = [timers, ready](std::uint64_t number) {
-    auto found = timers->entries.find(number);
-    if (found == timers->entries.end()) return ready->cancel(number);
-    delete static_cast<timer_argument*>(event_get_callback_arg(found->second.alarm));
-    event_free(found->second.alarm);
+  table.cancel = [timers, ready](std::uint64_t id) {
+    auto found = timers->entries.find(id);
+    if (found == timers->entries.end()) return ready->cancel(id);
+    delete static_cast<timer_context*>(event_get_callback_arg(found->second.timer_event));
+    event_free(found->second.timer_event);
     timers->entries.erase(found);
   };
 }
@@ -151,11 +153,11 @@
 static std::uint64_t random_seed(const backend& table) {
   std::uint64_t seed =
       static_cast<std::uint64_t>(table.wall()) ^ (static_cast<std::uint64_t>(table.now()) << 20);
-  FILE* source = fopen("/dev/urandom", "rb");
-  if (!source) return seed;
-  std::uint64_t extra = 0;
-  if (fread(&extra, sizeof extra, 1, source) == 1) seed ^= extra;
-  fclose(source);
+  FILE* file = fopen("/dev/urandom", "rb");
+  if (!file) return seed;
+  std::uint64_t random_bits = 0;
+  if (fread(&random_bits, sizeof random_bits, 1, file) == 1) seed ^= random_bits;
+  fclose(file);
   return seed;
 }
 
@@ -168,18 +170,18 @@
 }
 
 void event_loop::state::bind_signals() {
-  term = evsignal_new(base, SIGTERM, on_signal, &notice);
-  interrupt = evsignal_new(base, SIGINT, on_signal, &notice);
-  // Without a handler a hangup does nothing: by default it would end the process.
-  reload = [] {};
-  hangup = evsignal_new(base, SIGHUP, on_signal, &reload);
-  event_add(hangup, nullptr);
-  event_add(term, nullptr);
-  event_add(interrupt, nullptr);
+  sigterm_event = evsignal_new(base, SIGTERM, on_signal, &on_termination);
+  sigint_event = evsignal_new(base, SIGINT, on_signal, &on_termination);
+  // Ignored until a handler is set; the default action of SIGHUP would end the process.
+  on_hangup = [] {};
+  sighup_event = evsignal_new(base, SIGHUP, on_signal, &on_hangup);
+  event_add(sighup_event, nullptr);
+  event_add(sigterm_event, nullptr);
+  event_add(sigint_event, nullptr);
 }
 
-event_loop::event_loop(std::string data_folder) : state_(std::make_unique<state>()) {
-  // A peer that goes away while we write must not end the process.
+event_loop::event_loop(std::string data_directory) : state_(std::make_unique<state>()) {
+  // Writing to a connection that the peer has closed must not end the process.
   signal(SIGPIPE, SIG_IGN);
   state_->base = make_event_base();
   state_->timers.base = state_->base;
@@ -193,10 +195,10 @@
   bind_channels(state_->channels, table);
   bind_http_server(state_->server, table);
   bind_http_client(state_->client, table);
-  bind_files(std::move(data_folder), table);
+  bind_files(std::move(data_directory), table);
   std::uint64_t seed = random_seed(table);
   state_->runtime.emplace(std::move(table), seed);
-  state_->notice = [this] { stop(); };
+  state_->on_termination = [this] { stop(); };
   state_->bind_signals();
 }
 
@@ -206,24 +208,24 @@
   state_->server.reset();
   state_->channels.reset();
   auto entries = std::move(state_->timers.entries);
-  for (auto& [number, entry] : entries) {
-    delete static_cast<timer_argument*>(event_get_callback_arg(entry.alarm));
-    event_free(entry.alarm);
+  for (auto& [id, entry] : entries) {
+    delete static_cast<timer_context*>(event_get_callback_arg(entry.timer_event));
+    event_free(entry.timer_event);
   }
   entries.clear();
   state_->ready->clear();
   state_->runtime.reset();
   state_->ready.reset();
-  event_free(state_->hangup);
-  event_free(state_->term);
-  event_free(state_->interrupt);
+  event_free(state_->sighup_event);
+  event_free(state_->sigterm_event);
+  event_free(state_->sigint_event);
   event_base_free(state_->base);
 }
 
 handle event_loop::runtime() const { return *state_->runtime; }
 void event_loop::run() { event_base_dispatch(state_->base); }
 void event_loop::stop() { event_base_loopbreak(state_->base); }
-void event_loop::on_notice(std::function<void()> handler) { state_->notice = std::move(handler); }
-void event_loop::on_reload(std::function<void()> handler) { state_->reload = std::move(handler); }
+void event_loop::on_notice(std::function<void()> handler) { state_->on_termination = std::move(handler); }
+void event_loop::on_reload(std::function<void()> handler) { state_->on_hangup = std::move(handler); }
 
 }  // namespace herontally::runtime
--- a/src/runtime/event_loop.h
+++ b/src/runtime/event_loop.h
@@ -1,4 +1,4 @@
-// The event_loop making of a runtime: libevent, TCP, evhttp and files under one data folder.
+// Implements the runtime over libevent: TCP, HTTP, signals and files of one data directory.
 #pragma once
 #include "runtime/runtime.h"
 
@@ -6,19 +6,20 @@
 
 namespace herontally::runtime {
 
+// One per process. Runs all callbacks on the thread that calls `run`, and owns the process's signal handlers.
 class event_loop {
  public:
-  // An empty folder means that this process keeps nothing on disk.
-  explicit event_loop(std::string data_folder);
+  // Creates the data directory if needed; an empty path means that this process stores nothing on disk.
+  explicit event_loop(std::string data_directory);
   ~event_loop();
   event_loop(const event_loop&) = delete;
   handle runtime() const;
-  // Returns after `stop` or, when a notice handler is set, once that handler has called `stop`.
+  // Runs the loop until `stop` is called; by default SIGTERM and SIGINT call it.
   void run();
   void stop();
-  // SIGTERM and SIGINT call this once; without it they stop the loop.
+  // Sets the handler that SIGTERM and SIGINT call instead of `stop`.
   void on_notice(std::function<void()> handler);
-  // SIGHUP calls this; without it SIGHUP does nothing.
+  // Sets the handler of SIGHUP, which is ignored otherwise.
   void on_reload(std::function<void()> handler);
 
  private:
--- a/src/runtime/http_connection_pool.cc
+++ b/src/runtime/http_connection_pool.cc
@@ -1,4 +1,4 @@
-// HTTP/1.1 towards other servers: kept connections by address, or one of its own for each request.
+// HTTP/1.1 client: keeps connections open per address, or uses a new connection for each request.
 #include "runtime/http_connection_pool.h"
 
 #include <event2/bufferevent.h>
@@ -11,44 +11,45 @@
 
 namespace herontally::runtime {
 
-http_client_part::~http_client_part() {
-  for (auto& [number, connection] : connections) bufferevent_free(connection->stream);
+http_client::~http_client() {
+  for (auto& [id, connection] : connections) bufferevent_free(connection->stream);
 }
 
 void close_connection(client_connection* connection) {
-  auto* part = connection->part;
-  if (connection->connect_timer) part->cancel(connection->connect_timer);
+  auto* client = connection->client;
+  if (connection->connect_timer) client->cancel(connection->connect_timer);
   if (connection->pooled) {
-    auto found = part->addresses.find(connection->address);
+    auto found = client->addresses.find(connection->address);
     auto& idle = found->second.idle;
-    idle.erase(std::remove(idle.begin(), idle.end(), connection->number), idle.end());
-    if (--found->second.open == 0) part->addresses.erase(found);
+    idle.erase(std::remove(idle.begin(), idle.end(), connection->id), idle.end());
+    if (--found->second.open == 0) client->addresses.erase(found);
   }
   bufferevent_free(connection->stream);
-  part->connections.erase(connection->number);
+  client->connections.erase(connection->id);
 }
 
 void put_idle(client_connection* connection) {
-  connection->idle_since = connection->part->now();
-  connection->part->addresses[connection->address].idle.push_back(connection->number);
+  connection->idle_since = connection->client->now();
+  connection->client->addresses[connection->address].idle.push_back(connection->id);
 }
 
-// Bytes or an end that the loop hasn't come to yet: the connection isn't idle any more.
-static bool silent(const client_connection* connection) {
+// False when data or an end of stream has arrived that the loop hasn't read yet: the connection can't be
+// reused.
+static bool has_no_pending_input(const client_connection* connection) {
   char byte;
   return recv(bufferevent_getfd(connection->stream), &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0 &&
          (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-client_connection* take_idle(http_client_part* part, const std::string& address, microseconds longest_idle) {
-  microseconds now = part->now();
+client_connection* take_idle(http_client* client, const std::string& address, microseconds longest_idle) {
+  microseconds now = client->now();
   while (true) {
-    auto found = part->addresses.find(address);
-    if (found == part->addresses.end() || found->second.idle.empty()) return nullptr;
-    auto* connection = part->connections[found->second.idle.back()].get();
+    auto found = client->addresses.find(address);
+    if (found == client->addresses.end() || found->second.idle.empty()) return nullptr;
+    auto* connection = client->connections[found->second.idle.back()].get();
     microseconds limit = longest_idle;
     if (connection->idle_limit >= 0) limit = std::min(limit, connection->idle_limit);
-    if (now - connection->idle_since < limit && silent(connection)) {
+    if (now - connection->idle_since < limit && has_no_pending_input(connection)) {
       found->second.idle.pop_back();
       return connection;
     }
@@ -56,105 +57,107 @@
   }
 }
 
-client_connection* open_connection(http_client_part* part, const std::string& address, bool pooled) {
-  sockaddr_storage where{};
+client_connection* open_connection(http_client* client, const std::string& address, bool pooled) {
+  sockaddr_storage socket_address{};
   int length = 0;
-  if (!find_address(address, where, length)) return nullptr;
-  int descriptor = socket(where.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+  if (!resolve_address(address, socket_address, length)) return nullptr;
+  int descriptor = socket(socket_address.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (descriptor < 0) return nullptr;
-  tune_connection(descriptor);
+  set_connection_options(descriptor);
   auto owned = std::make_unique<client_connection>();
   auto* connection = owned.get();
-  connection->part = part;
-  connection->number = part->next++;
+  connection->client = client;
+  connection->id = client->next_id++;
   connection->address = address;
   connection->pooled = pooled;
-  connection->stream = bufferevent_socket_new(part->base, descriptor, BEV_OPT_CLOSE_ON_FREE);
-  // Without callbacks yet, so that a failure at once tells nobody from within http_open.
-  if (bufferevent_socket_connect(connection->stream, reinterpret_cast<sockaddr*>(&where), length) != 0) {
+  connection->stream = bufferevent_socket_new(client->base, descriptor, BEV_OPT_CLOSE_ON_FREE);
+  // Connects before callbacks are set, so that an immediate failure calls no handler from within http_open.
+  if (bufferevent_socket_connect(connection->stream, reinterpret_cast<sockaddr*>(&socket_address), length) !=
+      0) {
     bufferevent_free(connection->stream);
     return nullptr;
   }
-  watch_connection(connection);
-  if (pooled) ++part->addresses[address].open;
-  part->connections[connection->number] = std::move(owned);
+  enable_callbacks(connection);
+  if (pooled) ++client->addresses[address].open;
+  client->connections[connection->id] = std::move(owned);
   return connection;
 }
 
 namespace {
 
-void await_connection(client_connection* connection, microseconds timeout) {
-  std::weak_ptr<http_client_part> weak = connection->part->weak_from_this();
-  connection->connect_timer = connection->part->after(timeout, [weak, number = connection->number] {
-    auto part = weak.lock();
-    if (!part || !part->connections.contains(number)) return;
-    auto* late = part->connections[number].get();
-    late->connect_timer = 0;
-    fail_request(late, false);
+void start_connect_timer(client_connection* connection, microseconds timeout) {
+  std::weak_ptr<http_client> weak = connection->client->weak_from_this();
+  connection->connect_timer = connection->client->after(timeout, [weak, id = connection->id] {
+    auto client = weak.lock();
+    if (!client || !client->connections.contains(id)) return;
+    auto* pending = client->connections[id].get();
+    pending->connect_timer = 0;
+    fail_request(pending, false);
   });
 }
 
-client_connection* find_connection(http_client_part* part, const std::string& address,
-                                   const http_request& request) {
+client_connection* acquire_connection(http_client* client, const std::string& address,
+                                      const http_request& request) {
   if (request.pooled) {
-    if (auto* idle = take_idle(part, address, request.longest_idle)) return idle;
-    // take_idle has closed what was idle too long, so only busy ones count here.
-    auto found = part->addresses.find(address);
-    if (found != part->addresses.end() && found->second.open >= request.most_connections) return nullptr;
+    if (auto* idle = take_idle(client, address, request.longest_idle)) return idle;
+    // take_idle has closed connections that were idle too long, so only busy ones are counted here.
+    auto found = client->addresses.find(address);
+    if (found != client->addresses.end() && found->second.open >= request.most_connections) return nullptr;
   }
-  auto* connection = open_connection(part, address, request.pooled);
-  if (connection) await_connection(connection, request.connect_timeout);
+  auto* connection = open_connection(client, address, request.pooled);
+  if (connection) start_connect_timer(connection, request.connect_timeout);
   return connection;
 }
 
-void cancel_request(http_client_part* part, std::uint64_t number) {
-  auto found = part->requests.find(number);
-  if (found == part->requests.end()) return;
-  auto connection = part->connections.find(found->second->connection);
-  part->requests.erase(found);
-  if (connection != part->connections.end()) close_connection(connection->second.get());
+void cancel_request(http_client* client, std::uint64_t id) {
+  auto found = client->requests.find(id);
+  if (found == client->requests.end()) return;
+  auto connection = client->connections.find(found->second->connection);
+  client->requests.erase(found);
+  if (connection != client->connections.end()) close_connection(connection->second.get());
 }
 
 }  // namespace
 
-std::shared_ptr<http_client_part> make_http_client(event_base* base, const backend& table) {
-  auto part = std::make_shared<http_client_part>();
-  part->base = base;
-  part->after = table.after;
-  part->cancel = table.cancel;
-  part->now = table.now;
-  return part;
+std::shared_ptr<http_client> make_http_client(event_base* base, const backend& table) {
+  auto client = std::make_shared<http_client>();
+  client->base = base;
+  client->after = table.after;
+  client->cancel = table.cancel;
+  client->now = table.now;
+  return client;
 }
 
-void bind_http_client(const std::shared_ptr<http_client_part>& part, backend& table) {
-  std::weak_ptr<http_client_part> weak = part;
+void bind_http_client(const std::shared_ptr<http_client>& client, backend& table) {
+  std::weak_ptr<http_client> weak = client;
   table.http_open = [weak](std::string address, http_request request,
                            std::function<void(http_event)> notify) -> std::uint64_t {
-    auto here = weak.lock();
-    if (!here) return 0;
-    std::uint64_t number = here->next++;
-    auto& entry = here->requests[number] = std::make_unique<running_request>();
+    auto client = weak.lock();
+    if (!client) return 0;
+    std::uint64_t id = client->next_id++;
+    auto& entry = client->requests[id] = std::make_unique<running_request>();
     entry->notify = std::make_shared<std::function<void(http_event)>>(std::move(notify));
-    entry->bytes = request_bytes(address, request);
-    // The body has been written out; only what the answer is judged by is kept.
+    entry->bytes = serialize_request(address, request);
+    // The body is serialized already; only the fields needed to handle the response are kept.
     request.body.clear();
     request.headers.clear();
     std::transform(request.echo_name.begin(), request.echo_name.end(), request.echo_name.begin(),
                    [](unsigned char letter) { return std::tolower(letter); });
     entry->request = std::move(request);
-    auto* connection = entry->bytes.empty() ? nullptr : find_connection(here.get(), address, entry->request);
+    auto* connection =
+        entry->bytes.empty() ? nullptr : acquire_connection(client.get(), address, entry->request);
     if (connection) {
-      if (connection->connected) entry->idle_before = here->now() - connection->idle_since;
-      start_request(connection, number);
-      return number;
+      if (connection->connected) entry->idle_before = client->now() - connection->idle_since;
+      start_request(connection, id);
+      return id;
     }
-    here->after(0, [weak, number] {
-      if (auto still = weak.lock()) emit(still.get(), number, http_failure{false});
+    client->after(0, [weak, id] {
+      if (auto client = weak.lock()) deliver_event(client.get(), id, http_failure{false});
     });
-    return number;
+    return id;
   };
-  table.http_cancel = [weak](std::uint64_t number) {
-    if (auto here = weak.lock()) cancel_request(here.get(), number);
+  table.http_cancel = [weak](std::uint64_t id) {
+    if (auto client = weak.lock()) cancel_request(client.get(), id);
   };
 }
 
--- a/src/runtime/http_response_reader.cc
+++ b/src/runtime/http_response_reader.cc
@@ -1,4 +1,4 @@
-// Reads answers off a client's connection with http_parser and writes requests.
+// Parses responses of a client connection with http_parser and serializes requests.
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
 
@@ -14,108 +14,108 @@
   return static_cast<client_connection*>(parser->data);
 }
 
-void take_field(answer_in_progress& answer) {
-  if (answer.field.empty()) return;
-  while (!answer.value.empty() && (answer.value.back() == ' ' || answer.value.back() == '\t'))
-    answer.value.pop_back();
-  std::transform(answer.field.begin(), answer.field.end(), answer.field.begin(),
+void store_header(response_in_progress& response) {
+  if (response.field.empty()) return;
+  while (!response.value.empty() && (response.value.back() == ' ' || response.value.back() == '\t'))
+    response.value.pop_back();
+  std::transform(response.field.begin(), response.field.end(), response.field.begin(),
                  [](unsigned char letter) { return std::tolower(letter); });
-  auto [place, fresh] = answer.head.headers.try_emplace(std::move(answer.field), answer.value);
-  if (!fresh) place->second += ", " + answer.value;
-  answer.field.clear();
-  answer.value.clear();
+  auto [position, inserted] = response.head.headers.try_emplace(std::move(response.field), response.value);
+  if (!inserted) position->second += ", " + response.value;
+  response.field.clear();
+  response.value.clear();
 }
 
 int on_message_begin(http_parser* parser) {
-  connection_of(parser)->answer = {};
+  connection_of(parser)->response = {};
   return 0;
 }
 
 int on_field(http_parser* parser, const char* bytes, std::size_t size) {
-  auto& answer = connection_of(parser)->answer;
-  // A field's bytes after a value's: the header before is complete.
-  if (std::exchange(answer.value_seen, false)) take_field(answer);
-  answer.field.append(bytes, size);
+  auto& response = connection_of(parser)->response;
+  // The first bytes of a field name after a value: the previous header is complete.
+  if (std::exchange(response.value_seen, false)) store_header(response);
+  response.field.append(bytes, size);
   return 0;
 }
 
 int on_value(http_parser* parser, const char* bytes, std::size_t size) {
-  auto& answer = connection_of(parser)->answer;
-  answer.value_seen = true;
-  answer.value.append(bytes, size);
+  auto& response = connection_of(parser)->response;
+  response.value_seen = true;
+  response.value.append(bytes, size);
   return 0;
 }
 
-// The most that an idle connection may be kept as the other side itself says.
+// How long the server keeps an idle connection by its Keep-Alive header, less one second; -1: not stated.
 microseconds idle_limit_of(const http_head& head) {
   auto found = head.headers.find("keep-alive");
   if (found == head.headers.end()) return -1;
-  auto place = found->second.find("timeout=");
-  if (place == std::string::npos) return -1;
-  return std::max<microseconds>(0, atoll(found->second.c_str() + place + 8) * second - second);
+  auto position = found->second.find("timeout=");
+  if (position == std::string::npos) return -1;
+  return std::max<microseconds>(0, atoll(found->second.c_str() + position + 8) * second - second);
 }
 
 int on_headers_complete(http_parser* parser) {
   auto* connection = connection_of(parser);
-  auto& answer = connection->answer;
-  take_field(answer);
-  answer.closing = (parser->flags & F_CONNECTION_CLOSE) != 0;
-  answer.head.status = static_cast<int>(parser->status_code);
-  answer.delimited =
-      answer.head.headers.contains("content-length") || answer.head.headers.contains("transfer-encoding");
-  connection->idle_limit = idle_limit_of(answer.head);
-  auto found = connection->part->requests.find(connection->running);
-  if (found == connection->part->requests.end()) return -1;
+  auto& response = connection->response;
+  store_header(response);
+  response.connection_close = (parser->flags & F_CONNECTION_CLOSE) != 0;
+  response.head.status = static_cast<int>(parser->status_code);
+  response.delimited =
+      response.head.headers.contains("content-length") || response.head.headers.contains("transfer-encoding");
+  connection->idle_limit = idle_limit_of(response.head);
+  auto found = connection->client->requests.find(connection->request_id);
+  if (found == connection->client->requests.end()) return -1;
   auto& request = found->second->request;
-  if (answer.head.status < 200) {
-    // We never ask for another protocol, so what would follow a 101 is no answer.
-    if (answer.head.status == 101) return -1;
-    answer.passed_over = true;
+  if (response.head.status < 200) {
+    // No request asks for a protocol upgrade, so what follows a 101 isn't an HTTP response.
+    if (response.head.status == 101) return -1;
+    response.skipped = true;
     return 0;
   }
   if (!request.echo_name.empty()) {
-    auto echo = answer.head.headers.find(request.echo_name);
-    answer.passed_over = echo == answer.head.headers.end() || echo->second != request.echo_value;
-    // The other side has lost count of its answers: this connection serves no later request.
-    if (answer.passed_over) connection->reusable = false;
+    auto echo = response.head.headers.find(request.echo_name);
+    response.skipped = echo == response.head.headers.end() || echo->second != request.echo_value;
+    // The server's responses no longer match the requests: don't reuse this connection.
+    if (response.skipped) connection->reusable = false;
   }
-  answer.head_is_due = !answer.passed_over;
-  // To HEAD comes no body, whatever Content-Length says.
+  response.head_pending = !response.skipped;
+  // A response to HEAD has no body, whatever Content-Length says.
   return request.method == "HEAD" ? 1 : 0;
 }
 
 int on_body(http_parser* parser, const char* bytes, std::size_t size) {
-  auto& answer = connection_of(parser)->answer;
-  if (!answer.passed_over) answer.body.append(bytes, size);
+  auto& response = connection_of(parser)->response;
+  if (!response.skipped) response.body.append(bytes, size);
   return 0;
 }
 
 int on_message_complete(http_parser* parser) {
   auto* connection = connection_of(parser);
-  if (connection->answer.passed_over) return 0;
-  connection->answer.whole = true;
+  if (connection->response.skipped) return 0;
+  connection->response.complete = true;
   if (!http_should_keep_alive(parser)) connection->reusable = false;
-  // What lies behind the whole answer must not be read as another one.
+  // Bytes after the complete response must not be parsed as another one.
   http_parser_pause(parser, 1);
   return 0;
 }
 
 const http_parser_settings& settings() {
   static const http_parser_settings table = [] {
-    http_parser_settings made;
-    http_parser_settings_init(&made);
-    made.on_message_begin = on_message_begin;
-    made.on_header_field = on_field;
-    made.on_header_value = on_value;
-    made.on_headers_complete = on_headers_complete;
-    made.on_body = on_body;
-    made.on_message_complete = on_message_complete;
-    return made;
+    http_parser_settings callbacks;
+    http_parser_settings_init(&callbacks);
+    callbacks.on_message_begin = on_message_begin;
+    callbacks.on_header_field = on_field;
+    callbacks.on_header_value = on_value;
+    callbacks.on_headers_complete = on_headers_complete;
+    callbacks.on_body = on_body;
+    callbacks.on_message_complete = on_message_complete;
+    return callbacks;
   }();
   return table;
 }
 
-bool one_line(const std::string& text) {
+bool is_single_line(const std::string& text) {
   return std::none_of(text.begin(), text.end(),
                       [](unsigned char letter) { return letter == '\r' || letter == '\n' || letter == 0; });
 }
@@ -127,47 +127,48 @@
 
 }  // namespace
 
-void expect_answer(client_connection* connection) {
+void reset_response_parser(client_connection* connection) {
   http_parser_init(&connection->parser, HTTP_RESPONSE);
   connection->parser.data = connection;
-  connection->answer = {};
+  connection->response = {};
 }
 
-// False: these bytes are no answer.
-bool parse_answer(client_connection* connection) {
+bool parse_response(client_connection* connection) {
   evbuffer* input = bufferevent_get_input(connection->stream);
-  while (!connection->answer.whole) {
+  while (!connection->response.complete) {
     std::size_t size = evbuffer_get_contiguous_space(input);
     if (size == 0) return true;
     auto* bytes = reinterpret_cast<const char*>(evbuffer_pullup(input, static_cast<ev_ssize_t>(size)));
-    std::size_t taken = http_parser_execute(&connection->parser, &settings(), bytes, size);
-    evbuffer_drain(input, taken);
-    auto problem = HTTP_PARSER_ERRNO(&connection->parser);
-    if (problem != HPE_OK && problem != HPE_PAUSED) return false;
-    if (taken < size && !connection->answer.whole) return false;
+    std::size_t consumed = http_parser_execute(&connection->parser, &settings(), bytes, size);
+    evbuffer_drain(input, consumed);
+    auto error = HTTP_PARSER_ERRNO(&connection->parser);
+    if (error != HPE_OK && error != HPE_PAUSED) return false;
+    if (consumed < size && !connection->response.complete) return false;
   }
   return true;
 }
 
-void parse_end(client_connection* connection) {
-  auto& answer = connection->answer;
-  // A body that ends with the connection is whole only when its head announced that.
-  if (answer.delimited || answer.head.status < 200 || (connection->pooled && !answer.closing)) return;
+void parse_end_of_stream(client_connection* connection) {
+  auto& response = connection->response;
+  // On a pooled connection, a body delimited by the end of the connection is complete only if the head
+  // announced the close.
+  if (response.delimited || response.head.status < 200 || (connection->pooled && !response.connection_close))
+    return;
   http_parser_execute(&connection->parser, &settings(), nullptr, 0);
 }
 
-std::string request_bytes(const std::string& address, const http_request& request) {
+std::string serialize_request(const std::string& address, const http_request& request) {
   std::string path = request.path.empty() ? "/" : request.path;
   if (!is_one_token(request.method) || !is_one_token(path)) return "";
   std::string bytes, host = address;
   bytes.reserve(512 + path.size() + request.body.size());
   bytes += request.method + " " + path + " HTTP/1.1\r\n";
   for (auto& [name, value] : request.headers) {
-    if (!is_one_token(name) || name.find(':') != std::string::npos || !one_line(value)) return "";
+    if (!is_one_token(name) || name.find(':') != std::string::npos || !is_single_line(value)) return "";
     std::string lower = name;
     std::transform(lower.begin(), lower.end(), lower.begin(),
                    [](unsigned char letter) { return std::tolower(letter); });
-    // The framing is ours.
+    // This client sets the framing headers itself.
     if (lower == "content-length" || lower == "transfer-encoding" || lower == "connection") continue;
     if (lower == "host")
       host = value;
--- a/src/runtime/http_server.cc
+++ b/src/runtime/http_server.cc
@@ -1,4 +1,4 @@
-// HTTP/1.1 towards clients, operators and, in the stand-ins, towards our own proxies: evhttp's server.
+// HTTP/1.1 server over evhttp, for clients and operators and, in the stand-ins, for the proxies.
 #include <event2/buffer.h>
 #include <event2/event.h>
 #include <event2/http.h>
@@ -12,11 +12,11 @@
 
 namespace herontally::runtime {
 
-http_server_part::~http_server_part() {
-  // No on_gone is called any more.
+http_server::~http_server() {
+  // Disables close callbacks, so that no on_gone handler is called during destruction.
   for (auto& [connection, entry] : connections) evhttp_connection_set_closecb(connection, nullptr, nullptr);
   connections.clear();
-  for (auto& entry : stopped) evhttp_free(entry->server);
+  for (auto& entry : stopped_servers) evhttp_free(entry->server);
   for (auto& [address, entry] : servers) evhttp_free(entry->server);
 }
 
@@ -45,11 +45,12 @@
   }
 }
 
-void take_headers(evhttp_request* request, std::map<std::string, std::string>& out) {
+void copy_headers(evhttp_request* request, std::map<std::string, std::string>& out) {
   auto* headers = evhttp_request_get_input_headers(request);
   for (auto* entry = headers->tqh_first; entry; entry = entry->next.tqe_next) {
-    auto [place, fresh] = out.try_emplace(lower(entry->key), entry->value);
-    if (!fresh) place->second += (place->first == "cookie" ? "; " : ", ") + std::string(entry->value);
+    auto [position, inserted] = out.try_emplace(lower(entry->key), entry->value);
+    if (!inserted)
+      position->second += (position->first == "cookie" ? "; " : ", ") + std::string(entry->value);
   }
 }
 
@@ -63,7 +64,7 @@
   const char* query = uri ? evhttp_uri_get_query(uri) : nullptr;
   incoming.path = path && *path ? path : "/";
   incoming.query = query ? query : "";
-  take_headers(request, incoming.headers);
+  copy_headers(request, incoming.headers);
   evbuffer* body = evhttp_request_get_input_buffer(request);
   incoming.body.resize(evbuffer_get_length(body));
   evbuffer_remove(body, incoming.body.data(), incoming.body.size());
@@ -71,27 +72,27 @@
   ev_uint16_t port = 0;
   evhttp_connection_get_peer(evhttp_request_get_connection(request), &peer, &port);
   if (peer) incoming.peer = std::string(peer) + ":" + std::to_string(port);
-  connection_of(server->part, evhttp_request_get_connection(request))->server = server;
-  // A copy: the handler may stop this very server.
+  connection_of(server->owner, evhttp_request_get_connection(request))->server = server;
+  // Copied, since the handler may stop this server.
   auto handler = server->handler;
   handler(std::move(incoming), make_http_writer(*server, request));
 }
 
-std::unique_ptr<bound_server> bind_server(http_server_part* part, const std::string& address,
+std::unique_ptr<bound_server> bind_server(http_server* owner, const std::string& address,
                                           http_handler handler) {
-  sockaddr_storage where{};
+  sockaddr_storage socket_address{};
   int length = 0;
-  if (!find_address(address, where, length)) return nullptr;
-  auto* listener = evconnlistener_new_bind(part->base, nullptr, nullptr,
+  if (!resolve_address(address, socket_address, length)) return nullptr;
+  auto* listener = evconnlistener_new_bind(owner->base, nullptr, nullptr,
                                            LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC,
-                                           512, reinterpret_cast<sockaddr*>(&where), length);
+                                           512, reinterpret_cast<sockaddr*>(&socket_address), length);
   if (!listener) return nullptr;
-  tune_listener(evconnlistener_get_fd(listener));
+  set_no_delay(evconnlistener_get_fd(listener));
   auto bound = std::make_unique<bound_server>();
-  bound->part = part;
+  bound->owner = owner;
   bound->handler = std::move(handler);
-  bound->server = evhttp_new(part->base);
-  evhttp_set_max_body_size(bound->server, largest_http_body);
+  bound->server = evhttp_new(owner->base);
+  evhttp_set_max_body_size(bound->server, max_http_body_bytes);
   evhttp_set_max_headers_size(bound->server, 32768);
   evhttp_set_allowed_methods(bound->server, EVHTTP_REQ_GET | EVHTTP_REQ_POST | EVHTTP_REQ_PUT |
                                                 EVHTTP_REQ_PATCH | EVHTTP_REQ_DELETE | EVHTTP_REQ_HEAD);
@@ -102,44 +103,44 @@
 
 }  // namespace
 
-std::shared_ptr<http_server_part> make_http_server(event_base* base) {
-  auto part = std::make_shared<http_server_part>();
-  part->base = base;
-  return part;
+std::shared_ptr<http_server> make_http_server(event_base* base) {
+  auto owner = std::make_shared<http_server>();
+  owner->base = base;
+  return owner;
 }
 
-void bind_http_server(const std::shared_ptr<http_server_part>& part, backend& table) {
-  std::weak_ptr<http_server_part> weak = part;
+void bind_http_server(const std::shared_ptr<http_server>& owner, backend& table) {
+  std::weak_ptr<http_server> weak = owner;
   table.http_serve = [weak](std::string address, http_handler handler) {
-    auto here = weak.lock();
-    if (!here || here->servers.contains(address)) return false;
-    auto bound = bind_server(here.get(), address, std::move(handler));
+    auto owner = weak.lock();
+    if (!owner || owner->servers.contains(address)) return false;
+    auto bound = bind_server(owner.get(), address, std::move(handler));
     if (!bound) return false;
-    here->servers[address] = std::move(bound);
+    owner->servers[address] = std::move(bound);
     return true;
   };
   table.http_stop_listening = [weak](std::string address) {
-    auto here = weak.lock();
-    if (!here || !here->servers.contains(address)) return;
-    auto bound = std::move(here->servers[address]);
-    here->servers.erase(address);
+    auto owner = weak.lock();
+    if (!owner || !owner->servers.contains(address)) return;
+    auto bound = std::move(owner->servers[address]);
+    owner->servers.erase(address);
     evhttp_del_accept_socket(bound->server, bound->listener);
-    here->stopped.push_back(std::move(bound));
+    owner->stopped_servers.push_back(std::move(bound));
   };
   table.http_drain = [weak](std::string address) {
-    auto here = weak.lock();
-    if (here && here->servers.contains(address)) *here->servers[address]->draining = true;
+    auto owner = weak.lock();
+    if (owner && owner->servers.contains(address)) *owner->servers[address]->draining = true;
   };
   table.http_connections = [weak](std::string address) -> connection_counts {
-    auto here = weak.lock();
-    if (!here || !here->servers.contains(address)) return {};
-    auto* server = here->servers[address].get();
+    auto owner = weak.lock();
+    if (!owner || !owner->servers.contains(address)) return {};
+    auto* server = owner->servers[address].get();
     connection_counts counts;
-    for (auto& [channel, connection] : here->connections) {
+    for (auto& [channel, connection] : owner->connections) {
       if (connection->server != server) continue;
       auto exchange = connection->exchange.lock();
       ++counts.open;
-      counts.unanswered += exchange && exchange->request && !exchange->gone ? 1 : 0;
+      counts.unanswered += exchange && exchange->request && !exchange->client_disconnected ? 1 : 0;
     }
     return counts;
   };
--- a/src/runtime/http_server_exchange.cc
+++ b/src/runtime/http_server_exchange.cc
@@ -1,4 +1,4 @@
-// The server's side of one exchange: answers whole or in pieces, through evhttp.
+// The server's side of one exchange: sends a response whole or in chunks through evhttp.
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
 #include <event2/http.h>
@@ -13,7 +13,7 @@
   int status;
   const char* reason;
 };
-// RFC 9110, section 15, and RFC 6585.
+// Reason phrases of RFC 9110, section 15, and RFC 6585.
 constexpr status_text status_texts[] = {
     {200, "OK"},
     {201, "Created"},
@@ -40,7 +40,7 @@
     {504, "Gateway Timeout"},
 };
 
-const char* reason_of(int status) {
+const char* reason_phrase(int status) {
   for (auto& each : status_texts)
     if (each.status == status) return each.reason;
   return "Answer";
@@ -51,81 +51,82 @@
   for (auto& [name, value] : headers) evhttp_add_header(out, name.c_str(), value.c_str());
 }
 
-// To be called before the head goes out.
-void announce_close(const server_exchange& held) {
-  auto* headers = evhttp_request_get_output_headers(held.request);
+// Must be called before the head is sent.
+void announce_close(const server_exchange& exchange) {
+  auto* headers = evhttp_request_get_output_headers(exchange.request);
   evhttp_remove_header(headers, "Connection");
   evhttp_add_header(headers, "Connection", "close");
-  auto part = held.part.lock();
-  if (auto* channel = evhttp_request_get_connection(held.request))
-    connection_of(part.get(), channel)->linger = true;
+  auto owner = exchange.owner.lock();
+  if (auto* channel = evhttp_request_get_connection(exchange.request))
+    connection_of(owner.get(), channel)->linger_on_close = true;
 }
 
-void cut_off(const std::shared_ptr<server_exchange>& held) {
-  if (!held->usable()) return;
-  auto* request = std::exchange(held->request, nullptr);
+void abort_connection(const std::shared_ptr<server_exchange>& exchange) {
+  if (!exchange->usable()) return;
+  auto* request = std::exchange(exchange->request, nullptr);
   auto* channel = evhttp_request_get_connection(request);
-  held->on_gone = nullptr;
-  // Freeing the channel frees the request with it; without a channel the request is ours to free.
+  exchange->on_gone = nullptr;
+  // Freeing the connection frees its request; a request without a connection is freed here.
   if (channel)
     evhttp_connection_free(channel);
   else
     evhttp_request_free(request);
 }
 
-// The functions that answer.
-void bind_answer(http_writer& writer, const std::shared_ptr<server_exchange>& held) {
-  writer.reply = [held](http_response response) {
-    if (!held->usable()) return;
-    if (held->head_sent) return cut_off(held);
-    held->on_gone = nullptr;
-    if (*held->draining) announce_close(*held);
-    auto* request = std::exchange(held->request, nullptr);
+// Sets the functions that send the response.
+void bind_response(http_writer& writer, const std::shared_ptr<server_exchange>& exchange) {
+  writer.reply = [exchange](http_response response) {
+    if (!exchange->usable()) return;
+    if (exchange->head_sent) return abort_connection(exchange);
+    exchange->on_gone = nullptr;
+    if (*exchange->draining) announce_close(*exchange);
+    auto* request = std::exchange(exchange->request, nullptr);
     add_headers(request, response.headers);
     evbuffer* body = evbuffer_new();
     evbuffer_add(body, response.body.data(), response.body.size());
-    evhttp_send_reply(request, response.status, reason_of(response.status), body);
+    evhttp_send_reply(request, response.status, reason_phrase(response.status), body);
     evbuffer_free(body);
   };
-  writer.start = [held](int status, std::map<std::string, std::string> headers) {
-    if (!held->usable()) return;
-    if (*held->draining) announce_close(*held);
-    held->head_sent = true;
-    add_headers(held->request, headers);
-    evhttp_send_reply_start(held->request, status, reason_of(status));
+  writer.start = [exchange](int status, std::map<std::string, std::string> headers) {
+    if (!exchange->usable()) return;
+    if (*exchange->draining) announce_close(*exchange);
+    exchange->head_sent = true;
+    add_headers(exchange->request, headers);
+    evhttp_send_reply_start(exchange->request, status, reason_phrase(status));
   };
-  writer.piece = [held](std::string bytes) {
-    if (!held->usable() || !evhttp_request_get_connection(held->request)) return;
+  writer.piece = [exchange](std::string bytes) {
+    if (!exchange->usable() || !evhttp_request_get_connection(exchange->request)) return;
     evbuffer* chunk = evbuffer_new();
     evbuffer_add(chunk, bytes.data(), bytes.size());
-    evhttp_send_reply_chunk(held->request, chunk);
+    evhttp_send_reply_chunk(exchange->request, chunk);
     evbuffer_free(chunk);
   };
-  writer.finish = [held] {
-    if (!held->usable()) return;
-    held->on_gone = nullptr;
-    evhttp_send_reply_end(std::exchange(held->request, nullptr));
+  writer.finish = [exchange] {
+    if (!exchange->usable()) return;
+    exchange->on_gone = nullptr;
+    evhttp_send_reply_end(std::exchange(exchange->request, nullptr));
   };
 }
 
-// The functions that look at the client's connection, or end it.
-void bind_connection(http_writer& writer, const std::shared_ptr<server_exchange>& held) {
-  writer.closed = [held] {
-    return held->gone || !held->usable() || !evhttp_request_get_connection(held->request);
+// Sets the functions that inspect or end the client's connection.
+void bind_connection(http_writer& writer, const std::shared_ptr<server_exchange>& exchange) {
+  writer.closed = [exchange] {
+    return exchange->client_disconnected || !exchange->usable() ||
+           !evhttp_request_get_connection(exchange->request);
   };
-  writer.backlog = [held]() -> std::size_t {
-    if (!held->usable()) return 0;
-    auto* channel = evhttp_request_get_connection(held->request);
+  writer.backlog = [exchange]() -> std::size_t {
+    if (!exchange->usable()) return 0;
+    auto* channel = evhttp_request_get_connection(exchange->request);
     if (!channel) return 0;
     return evbuffer_get_length(bufferevent_get_output(evhttp_connection_get_bufferevent(channel)));
   };
-  writer.cut = [held] { cut_off(held); };
-  writer.last_on_connection = [held] {
-    if (held->usable()) announce_close(*held);
+  writer.cut = [exchange] { abort_connection(exchange); };
+  writer.last_on_connection = [exchange] {
+    if (exchange->usable()) announce_close(*exchange);
   };
-  writer.on_gone = [held](std::function<void()> work) {
-    held->on_gone = std::move(work);
-    watch_client(held);
+  writer.on_gone = [exchange](std::function<void()> callback) {
+    exchange->on_gone = std::move(callback);
+    watch_client(exchange);
   };
 }
 
@@ -136,14 +137,14 @@
 }
 
 std::shared_ptr<http_writer> make_http_writer(const bound_server& server, evhttp_request* request) {
-  auto held = std::make_shared<server_exchange>();
-  held->request = request;
-  held->part = server.part->weak_from_this();
-  held->draining = server.draining;
-  connection_of(server.part, evhttp_request_get_connection(request))->exchange = held;
+  auto exchange = std::make_shared<server_exchange>();
+  exchange->request = request;
+  exchange->owner = server.owner->weak_from_this();
+  exchange->draining = server.draining;
+  connection_of(server.owner, evhttp_request_get_connection(request))->exchange = exchange;
   auto writer = std::make_shared<http_writer>();
-  bind_answer(*writer, held);
-  bind_connection(*writer, held);
+  bind_response(*writer, exchange);
+  bind_connection(*writer, exchange);
   return writer;
 }
 
--- a/src/runtime/http_server_parts.h
+++ b/src/runtime/http_server_parts.h
@@ -1,4 +1,4 @@
-// The server's connections and the exchanges on them; internal to the runtime package.
+// The HTTP server's connections and the exchanges on them; internal to the runtime.
 #pragma once
 #include <unordered_map>
 #include <utility>
@@ -15,52 +15,57 @@
 
 struct bound_server;
 
-// Owns the request until its answer is complete; evhttp hands it over when the client's connection closes.
+// Owns the request until its response is complete; when the client's connection closes, evhttp leaves the
+// request to the exchange.
 struct server_exchange {
   evhttp_request* request = nullptr;
-  std::weak_ptr<http_server_part> part;
-  std::shared_ptr<const bool> draining;  // of its server
+  std::weak_ptr<http_server> owner;
+  std::shared_ptr<const bool> draining;  // shared with its server
   bool head_sent = false;
-  bool gone = false;
+  bool client_disconnected = false;
   std::function<void()> on_gone;
+  // Sends a 500 response when the handler has dropped the writer without completing a response.
   ~server_exchange();
-  bool usable() const { return request && !part.expired(); }
+  bool usable() const { return request && !owner.expired(); }
 };
 
-// What is known about a connection beyond evhttp's own record.
+// State of a connection that evhttp doesn't keep.
 struct server_connection {
-  http_server_part* part = nullptr;
-  const bound_server* server = nullptr;  // nullptr: no request has come in on it
+  http_server* owner = nullptr;
+  const bound_server* server = nullptr;  // nullptr until the first request
   evhttp_connection* connection = nullptr;
-  std::weak_ptr<server_exchange> exchange;  // the one that is being worked on
-  // A second descriptor of the same socket, made when somebody asks for the client's end: evhttp doesn't read
-  // while it waits for an answer, and its own descriptor can't be watched by edges.
-  int watched = -1;
-  struct event* watch = nullptr;
-  bool linger = false;
+  std::weak_ptr<server_exchange> exchange;  // the one in progress
+  // A duplicate of the socket's descriptor, made when a handler asks to be notified of a disconnect: evhttp
+  // doesn't read while it waits for a response, and its own descriptor can't be registered edge-triggered.
+  int watched_descriptor = -1;
+  struct event* watch_event = nullptr;
+  bool linger_on_close = false;
   ~server_connection();
 };
 
+// A server at one address.
 struct bound_server {
   evhttp* server = nullptr;
   evhttp_bound_socket* listener = nullptr;
-  http_server_part* part = nullptr;
+  http_server* owner = nullptr;
   http_handler handler;
-  // Shared with the exchanges: whether their answers are the last ones on their connections.
+  // Shared with the exchanges: whether each response closes its connection.
   std::shared_ptr<bool> draining = std::make_shared<bool>(false);
 };
 
-struct http_server_part : std::enable_shared_from_this<http_server_part> {
+// All HTTP servers of the process and their connections.
+struct http_server : std::enable_shared_from_this<http_server> {
   event_base* base = nullptr;
   std::unordered_map<std::string, std::unique_ptr<bound_server>> servers;
-  std::vector<std::unique_ptr<bound_server>> stopped;  // their connections live on
+  std::vector<std::unique_ptr<bound_server>> stopped_servers;  // closed listeners, open connections
   std::unordered_map<evhttp_connection*, std::unique_ptr<server_connection>> connections;
-  ~http_server_part();
+  ~http_server();
 };
 
 std::shared_ptr<http_writer> make_http_writer(const bound_server& server, evhttp_request* request);
-// The exchange's on_gone is called once, when its client has gone.
+// Watches the client's connection and calls the exchange's on_gone once when the client disconnects.
 void watch_client(const std::shared_ptr<server_exchange>& exchange);
-server_connection* connection_of(http_server_part* part, evhttp_connection* connection);
+// Finds or creates the state of a connection.
+server_connection* connection_of(http_server* owner, evhttp_connection* connection);
 
 }  // namespace herontally::runtime
--- a/src/runtime/program.h
+++ b/src/runtime/program.h
@@ -1,4 +1,4 @@
-// What every daemon's main has in common: settings, logs, loop, notice.
+// The common main function of all daemons: settings, logging, event loop and graceful shutdown.
 #pragma once
 #include <stdio.h>
 #include <stdlib.h>
@@ -12,9 +12,9 @@
 
 namespace herontally::runtime {
 
-// Ends the process once its work is done, without static destructors: that of log4cplus waits for worker
-// threads, and a process that stays until it is killed keeps its machine from starting again. Builds with a
-// sanitizer return to main as usual, so that leaks are looked for.
+// Exits without running static destructors: that of log4cplus waits for worker threads, and a process that
+// hangs until it is killed keeps its machine from restarting. Builds with AddressSanitizer return to main, so
+// that leaks are checked.
 inline int end_process(int code) {
   std::cout.flush();
   fflush(nullptr);
@@ -24,19 +24,20 @@
   return code;
 }
 
-// `Node` has start(), which tells what stands in the way, and leave(), which is bounded by the notice.
+// Runs a node until SIGTERM or SIGINT and returns the exit code. `Node` has start(), which returns an error
+// message on failure, and leave(), whose duration is limited by notice_milliseconds.
 template <class Node, class... Extra>
-int serve_until_notice(settings::settings place, const std::string& role, Extra... extra) {
-  logging::start(role, place.log_level);
-  event_loop loop(place.data);
-  logging::logger logger(place.name);
+int serve_until_terminated(settings::settings config, const std::string& role, Extra... extra) {
+  logging::start(role, config.log_level);
+  event_loop loop(config.data);
+  logging::logger logger(config.name);
   std::optional<Node> node;
-  node.emplace(loop.runtime(), place, logger, extra...);
+  node.emplace(loop.runtime(), config, logger, extra...);
   int code = 0;
   auto begin = [](Node* started, event_loop* owner, int* result, std::string name) -> task<> {
-    auto fault = co_await started->start();
-    if (!fault) co_return;
-    fprintf(stderr, "%s: %s\n", name.c_str(), fault->c_str());
+    auto error = co_await started->start();
+    if (!error) co_return;
+    fprintf(stderr, "%s: %s\n", name.c_str(), error->c_str());
     *result = 1;
     owner->stop();
   };
@@ -51,8 +52,8 @@
       owner->stop();
     };
     loop.runtime().spawn(end(&*node, &loop));
-    // Whatever hangs must not outlast the notice.
-    loop.runtime().after(place.notice_milliseconds * millisecond, [&loop] { loop.stop(); });
+    // Bounds the shutdown, even when leave() hangs.
+    loop.runtime().after(config.notice_milliseconds * millisecond, [&loop] { loop.stop(); });
   });
   loop.run();
   loop.runtime().stop();
@@ -60,11 +61,13 @@
   return code;
 }
 
+// Runs a node with the given settings and ends the process.
 template <class Node, class... Extra>
-int run_place(settings::settings place, const std::string& role, Extra... extra) {
-  return end_process(serve_until_notice<Node>(std::move(place), role, std::move(extra)...));
+int run_place(settings::settings config, const std::string& role, Extra... extra) {
+  return end_process(serve_until_terminated<Node>(std::move(config), role, std::move(extra)...));
 }
 
+// Reads the settings from the command line, runs a node and ends the process.
 template <class Node>
 int run_program(int count, char** arguments, const std::string& role, const std::string& purpose) {
   return run_place<Node>(settings::from_command_line(count, arguments, role, purpose), role);
--- a/src/runtime/resource_report.cc
+++ b/src/runtime/resource_report.cc
@@ -1,3 +1,4 @@
+// Reads the process's resource usage and logs it periodically.
 #include "runtime/resource_report.h"
 
 #include <sys/resource.h>
@@ -10,7 +11,7 @@
 
 microseconds duration_of(const timeval& time) { return time.tv_sec * second + time.tv_usec; }
 
-// Counters whose growth since the last line is reported beside the processor time.
+// A counter whose growth since the previous log line is logged with the processor time.
 struct reported_counter {
   const char* field;
   const char* metric;
@@ -19,7 +20,7 @@
 
 }  // namespace
 
-resource_use resources_in_use() {
+resource_usage current_resource_usage() {
   rusage usage{};
   if (getrusage(RUSAGE_SELF, &usage) != 0) return {};
   return {duration_of(usage.ru_utime) + duration_of(usage.ru_stime), usage.ru_maxrss};
@@ -34,21 +35,21 @@
       {"member_rows_sent", "herontally_member_rows_sent_total"},
       {"records_caught_up", "herontally_catch_up_records_total"},
   };
-  auto before = resources_in_use().processor_time;
+  auto previous_processor_time = current_resource_usage().processor_time;
   while (true) {
     co_await runtime.sleep(report_period);
-    auto use = resources_in_use();
-    nlohmann::json fields{{"processor_ms", (use.processor_time - before) / millisecond},
-                          {"peak_kb", use.peak_kilobytes}};
-    before = use.processor_time;
+    auto current = current_resource_usage();
+    nlohmann::json fields{{"processor_ms", (current.processor_time - previous_processor_time) / millisecond},
+                          {"peak_kb", current.peak_kilobytes}};
+    previous_processor_time = current.processor_time;
     for (auto& counter : counters) {
       auto value = logger.value(counter.metric);
       fields[counter.field] = value - counter.last;
       counter.last = value;
     }
-    logger.gauge("herontally_peak_resident_kilobytes", static_cast<double>(use.peak_kilobytes));
+    logger.gauge("herontally_peak_resident_kilobytes", static_cast<double>(current.peak_kilobytes));
     logger.gauge("herontally_processor_milliseconds",
-                 static_cast<double>(use.processor_time) / static_cast<double>(millisecond));
+                 static_cast<double>(current.processor_time) / static_cast<double>(millisecond));
     logger.info("resources", std::move(fields));
   }
 }
--- a/src/runtime/resource_report.h
+++ b/src/runtime/resource_report.h
@@ -1,16 +1,17 @@
-// What a process pays: a log line at fixed intervals, and gauges, with its processor time, its peak memory
-// and the work that the time goes to.
+// Reports the process's resource usage, as a log line every ten seconds and as gauges: processor time, peak
+// memory and counters of the work that takes the time.
 #pragma once
 #include "logging/logging.h"
 #include "runtime/runtime.h"
 
 namespace herontally::runtime {
 
-struct resource_use {
-  microseconds processor_time = 0;  // of the whole process, since its start
-  std::int64_t peak_kilobytes = 0;  // of resident memory
+struct resource_usage {
+  microseconds processor_time = 0;  // user and system time of the process since its start
+  std::int64_t peak_kilobytes = 0;  // peak resident memory
 };
-resource_use resources_in_use();
+// Zeros when the usage can't be read.
+resource_usage current_resource_usage();
 
 // Runs until the process stops.
 task<> report_resources_forever(handle runtime, logging::logger logger);
--- a/src/runtime/runtime.cc
+++ b/src/runtime/runtime.cc
@@ -1,3 +1,4 @@
+// Implements the runtime handle over a table of functions, and the HTTP helpers built on it.
 #include "runtime/runtime.h"
 
 #include <algorithm>
@@ -9,7 +10,7 @@
   backend table;
   std::mt19937_64 random;
   std::unordered_map<std::uint64_t, task<>> roots;
-  std::uint64_t next_root = 1;
+  std::uint64_t next_root_id = 1;
   bool stopped = false;
   std::vector<std::function<void()>> on_stop;
 };
@@ -38,7 +39,7 @@
 }
 void handle::cancel(std::uint64_t timer) const { state_->table.cancel(timer); }
 
-// Nobody awaits a spawned task, so that nobody could go on from what it threw.
+// No task awaits a spawned task, so nothing could handle its exception: the process ends.
 static task<> run_root(task<> work, std::function<void()> done) {
   try {
     co_await std::move(work);
@@ -59,21 +60,21 @@
 
 void handle::spawn(task<> work) const {
   if (state_->stopped) return;
-  std::uint64_t number = state_->next_root++;
+  std::uint64_t id = state_->next_root_id++;
   std::weak_ptr<state> weak = state_;
-  // The frame is freed from the loop, not from inside itself.
-  auto done = [weak, number] {
-    if (auto here = weak.lock())
-      here->table.after(0, [weak, number] {
-        if (auto still = weak.lock()) still->roots.erase(number);
+  // The coroutine frame is freed from the loop, since a frame can't free itself while it runs.
+  auto done = [weak, id] {
+    if (auto self = weak.lock())
+      self->table.after(0, [weak, id] {
+        if (auto self = weak.lock()) self->roots.erase(id);
       });
   };
-  state_->roots.emplace(number, run_root(std::move(work), done));
-  post([weak, number] {
-    auto here = weak.lock();
-    if (!here) return;
-    auto found = here->roots.find(number);
-    if (found != here->roots.end()) found->second.start();
+  state_->roots.emplace(id, run_root(std::move(work), done));
+  post([weak, id] {
+    auto self = weak.lock();
+    if (!self) return;
+    auto found = self->roots.find(id);
+    if (found != self->roots.end()) found->second.start();
   });
 }
 
@@ -121,26 +122,24 @@
 void handle::on_stop(std::function<void()> work) const { state_->on_stop.push_back(std::move(work)); }
 
 http_stream::http_stream(handle runtime, std::string address, http_request request)
-    : runtime_(runtime), events_(runtime), number_(std::make_shared<std::uint64_t>(0)) {
+    : runtime_(runtime), events_(runtime), id_(std::make_shared<std::uint64_t>(0)) {
   auto events = events_;
-  auto number = number_;
-  *number_ =
-      runtime_.table().http_open(std::move(address), std::move(request), [events, number](http_event event) {
-        // After the last event there is nothing left to give up.
-        if (std::holds_alternative<http_end>(event) || std::holds_alternative<http_failure>(event))
-          *number = 0;
-        events.push(std::move(event));
-      });
+  auto id = id_;
+  *id_ = runtime_.table().http_open(std::move(address), std::move(request), [events, id](http_event event) {
+    // The exchange is over: there is nothing left to cancel.
+    if (std::holds_alternative<http_end>(event) || std::holds_alternative<http_failure>(event)) *id = 0;
+    events.push(std::move(event));
+  });
 }
 
 http_stream::~http_stream() {
-  if (*number_) runtime_.table().http_cancel(*number_);
+  if (*id_) runtime_.table().http_cancel(*id_);
 }
 
 task<std::optional<http_event>> http_stream::next(microseconds timeout) { return events_.pop(timeout); }
 
 void http_stream::interrupt() {
-  // Static, since g++ 12 takes parts of a local variant for uninitialised.
+  // Static, since g++ 12 warns that parts of a local variant are uninitialised.
   static const http_event failure = http_failure{};
   events_.push(failure);
 }
@@ -152,9 +151,9 @@
   auto is_open = [&](auto& address) { return runtime.http_connections(address).open > 0; };
   auto is_unanswered = [&](auto& address) { return runtime.http_connections(address).unanswered > 0; };
   while (runtime.now() < latest) {
-    bool waits = runtime.now() < until ? std::any_of(addresses.begin(), addresses.end(), is_open)
-                                       : std::any_of(addresses.begin(), addresses.end(), is_unanswered);
-    if (!waits) co_return;
+    bool pending = runtime.now() < until ? std::any_of(addresses.begin(), addresses.end(), is_open)
+                                         : std::any_of(addresses.begin(), addresses.end(), is_unanswered);
+    if (!pending) co_return;
     co_await runtime.sleep(poll_period);
   }
 }
@@ -165,9 +164,9 @@
   http_stream stream(runtime, std::move(address), std::move(request));
   http_response response;
   while (true) {
-    microseconds left = deadline - runtime.now();
-    if (left <= 0) co_return http_failure{true};
-    auto event = co_await stream.next(left);
+    microseconds remaining = deadline - runtime.now();
+    if (remaining <= 0) co_return http_failure{true};
+    auto event = co_await stream.next(remaining);
     if (!event) co_return http_failure{true};
     if (auto* head = std::get_if<http_head>(&*event)) {
       response.status = head->status;
--- a/src/runtime/socket_options.cc
+++ b/src/runtime/socket_options.cc
@@ -1,4 +1,4 @@
-// Addresses and the options that every connection gets.
+// Resolves addresses and sets socket options.
 #include <event2/util.h>
 #include <netdb.h>
 #include <netinet/tcp.h>
@@ -9,13 +9,13 @@
 
 namespace herontally::runtime {
 
-bool find_address(const std::string& text, sockaddr_storage& out, int& length) {
+bool resolve_address(const std::string& text, sockaddr_storage& out, int& length) {
   length = sizeof out;
   if (evutil_parse_sockaddr_port(text.c_str(), reinterpret_cast<sockaddr*>(&out), &length) == 0)
     return text.rfind(':') != std::string::npos;
   auto colon = text.rfind(':');
   if (colon == std::string::npos) return false;
-  // A name, as operators write them: looked up at once, which for the local file of hosts is quick.
+  // A host name from the settings. The lookup blocks, which is fast for names in the local hosts file.
   addrinfo hints{};
   hints.ai_socktype = SOCK_STREAM;
   addrinfo* found = nullptr;
@@ -26,14 +26,15 @@
   return true;
 }
 
-void tune_listener(int descriptor) {
+void set_no_delay(int descriptor) {
   int one = 1;
   setsockopt(descriptor, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
 }
 
-void tune_connection(int descriptor) {
-  tune_listener(descriptor);
-  // A machine that lost power says nothing: what it doesn't acknowledge for this long ends the connection.
+void set_connection_options(int descriptor) {
+  set_no_delay(descriptor);
+  // A machine that lost power sends no FIN or RST: the connection ends when sent data stays unacknowledged
+  // for this long.
   unsigned int silence_milliseconds = 2000;
   setsockopt(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, &silence_milliseconds, sizeof silence_milliseconds);
 }
--- a/src/runtime/task.h
+++ b/src/runtime/task.h
@@ -1,5 +1,5 @@
-// Lazy coroutine tasks: a task starts when it is awaited or spawned and owns its frame. What a task throws is
-// thrown again where it is awaited; a spawned task that throws ends the process.
+// Lazy coroutine tasks: a task starts when it is awaited or spawned and owns its coroutine frame. An
+// exception is rethrown where the task is awaited; one that leaves a spawned task ends the process.
 #pragma once
 #include <coroutine>
 #include <exception>
@@ -10,6 +10,7 @@
 
 namespace herontally::runtime {
 
+// The final awaiter: resumes the task that awaits the finished one.
 struct resume_continuation {
   bool await_ready() noexcept { return false; }
   template <class Promise>
@@ -20,6 +21,7 @@
   void await_resume() noexcept {}
 };
 
+// Owns a coroutine frame; movable, not copyable.
 template <class Promise>
 class frame_owner {
  public:
@@ -47,11 +49,11 @@
   struct promise_type : pooled_frame {
     std::coroutine_handle<> continuation;
     std::optional<T> value;
-    std::exception_ptr failure;
+    std::exception_ptr exception;
     task get_return_object() { return task(std::coroutine_handle<promise_type>::from_promise(*this)); }
     std::suspend_always initial_suspend() noexcept { return {}; }
     resume_continuation final_suspend() noexcept { return {}; }
-    void unhandled_exception() { failure = std::current_exception(); }
+    void unhandled_exception() { exception = std::current_exception(); }
     void return_value(T result) { value.emplace(std::move(result)); }
   };
   bool await_ready() const noexcept { return false; }
@@ -61,7 +63,7 @@
   }
   T await_resume() {
     auto& promise = frame_.get().promise();
-    if (promise.failure) std::rethrow_exception(promise.failure);
+    if (promise.exception) std::rethrow_exception(promise.exception);
     return std::move(*promise.value);
   }
 
@@ -75,11 +77,11 @@
  public:
   struct promise_type : pooled_frame {
     std::coroutine_handle<> continuation;
-    std::exception_ptr failure;
+    std::exception_ptr exception;
     task get_return_object() { return task(std::coroutine_handle<promise_type>::from_promise(*this)); }
     std::suspend_always initial_suspend() noexcept { return {}; }
     resume_continuation final_suspend() noexcept { return {}; }
-    void unhandled_exception() { failure = std::current_exception(); }
+    void unhandled_exception() { exception = std::current_exception(); }
     void return_void() {}
   };
   bool await_ready() const noexcept { return false; }
@@ -88,9 +90,9 @@
     return frame_.get();
   }
   void await_resume() {
-    if (frame_.get().promise().failure) std::rethrow_exception(frame_.get().promise().failure);
+    if (frame_.get().promise().exception) std::rethrow_exception(frame_.get().promise().exception);
   }
-  // Only the runtime starts a task that nobody awaits.
+  // Called only by the runtime, for a spawned task.
   void start() { frame_.get().resume(); }
 
  private:
--- a/tests/event_loop_test.cc
+++ b/tests/event_loop_test.cc
@@ -1,4 +1,4 @@
-// The event loop's work without a delay: its order, its cancelling, and that it leaves the loop its turns.
+// Tests callbacks without a delay: their order and cancellation, and that they don't starve timers.
 #include "runtime/event_loop.h"
 
 #include <catch2/catch.hpp>
@@ -6,7 +6,7 @@
 using namespace herontally;
 using runtime::millisecond;
 
-TEST_CASE("work without a delay runs in its order, what it queues behind it") {
+TEST_CASE("callbacks without a delay run in the order of posting, including those posted by callbacks") {
   runtime::event_loop loop("/tmp");
   auto runtime = loop.runtime();
   std::string order;
@@ -23,32 +23,32 @@
   REQUIRE(order == "abcd");
 }
 
-TEST_CASE("work without a delay that was cancelled doesn't run") {
+TEST_CASE("a cancelled callback without a delay doesn't run") {
   runtime::event_loop loop("/tmp");
   auto runtime = loop.runtime();
   bool ran = false;
-  auto number = runtime.after(0, [&] { ran = true; });
-  runtime.cancel(number);
+  auto id = runtime.after(0, [&] { ran = true; });
+  runtime.cancel(id);
   runtime.after(5 * millisecond, [&] { loop.stop(); });
   loop.run();
   REQUIRE_FALSE(ran);
 }
 
-TEST_CASE("work that queues itself without end leaves timers their turn") {
+TEST_CASE("a callback that reposts itself forever doesn't starve timers") {
   runtime::event_loop loop("/tmp");
   auto runtime = loop.runtime();
-  std::int64_t turns = 0;
-  std::function<void()> again = [&] {
-    ++turns;
-    runtime.post(again);
+  std::int64_t runs = 0;
+  std::function<void()> repost = [&] {
+    ++runs;
+    runtime.post(repost);
   };
-  runtime.post(again);
+  runtime.post(repost);
   runtime.after(20 * millisecond, [&] { loop.stop(); });
   loop.run();
-  REQUIRE(turns > 1000);
+  REQUIRE(runs > 1000);
 }
 
-TEST_CASE("nothing runs after the loop was stopped") {
+TEST_CASE("no callback runs after the loop is stopped") {
   runtime::event_loop loop("/tmp");
   auto runtime = loop.runtime();
   bool ran = false;
--- a/tests/pool_loss_test.cc
+++ b/tests/pool_loss_test.cc
@@ -1,54 +1,53 @@
-// Kept connections that are lost, reset or answered early.
+// Tests pooled connections that are reset, or answered before the request was written completely.
 #include "http_pool_fixture.h"
 
 using namespace loopback;
 
-TEST_CASE("a request that is lost on an idle connection tells how long it was idle, and goes out once",
-          "[pool]") {
-  loop here;
-  CHECK(exchange(here, pooled(), answer("x"))->whole());
-  here.accepted[0].received.clear();
-  here.clock += rt::second;
-  auto lost = ask(here, pooled());
-  REQUIRE(here.until([&] { return !here.accepted[0].received.empty(); }));
-  here.accepted[0].reset_now();
-  REQUIRE(here.until([&] { return lost->over(); }));
+TEST_CASE("a request lost on an idle connection reports the idle time and is not retried", "[pool]") {
+  loop env;
+  CHECK(run_exchange(env, pooled_request(), make_response("x"))->complete());
+  env.accepted[0].received.clear();
+  env.clock += rt::second;
+  auto lost = send_request(env, pooled_request());
+  REQUIRE(env.run_until([&] { return !env.accepted[0].received.empty(); }));
+  env.accepted[0].send_reset();
+  REQUIRE(env.run_until([&] { return lost->finished(); }));
   REQUIRE(lost->failure);
   CHECK(lost->failure->sent);
   CHECK(lost->failure->idle_before == rt::second);
-  here.settle();
-  CHECK(here.accepted.size() == 1);
-  // On a new connection nothing was idle.
-  auto fresh = ask(here, pooled());
-  REQUIRE(here.until([&] { return here.accepted.size() == 2 && !here.accepted[1].received.empty(); }));
-  here.accepted[1].reset_now();
-  REQUIRE(here.until([&] { return fresh->over(); }));
+  env.settle();
+  CHECK(env.accepted.size() == 1);
+  // A new connection has no idle time.
+  auto fresh = send_request(env, pooled_request());
+  REQUIRE(env.run_until([&] { return env.accepted.size() == 2 && !env.accepted[1].received.empty(); }));
+  env.accepted[1].send_reset();
+  REQUIRE(env.run_until([&] { return fresh->finished(); }));
   REQUIRE(fresh->failure);
   CHECK(fresh->failure->idle_before < 0);
 }
 
-TEST_CASE("an answer without length that is reset is not complete", "[pool]") {
-  loop here;
-  auto result = ask(here, pooled());
-  REQUIRE(here.until([&] { return !here.accepted.empty() && !here.accepted[0].received.empty(); }));
-  here.accepted[0].send("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nabc");
-  REQUIRE(here.until([&] { return result->body == "abc"; }));
-  here.accepted[0].reset_now();
-  REQUIRE(here.until([&] { return result->over(); }));
+TEST_CASE("a response without a length is incomplete after a reset", "[pool]") {
+  loop env;
+  auto result = send_request(env, pooled_request());
+  REQUIRE(env.run_until([&] { return !env.accepted.empty() && !env.accepted[0].received.empty(); }));
+  env.accepted[0].send("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nabc");
+  REQUIRE(env.run_until([&] { return result->body == "abc"; }));
+  env.accepted[0].send_reset();
+  REQUIRE(env.run_until([&] { return result->finished(); }));
   CHECK(result->failure);
 }
 
-TEST_CASE("a connection that was answered before it took the whole body serves no later request", "[pool]") {
-  loop here;
-  auto request = pooled();
+TEST_CASE("a connection answered before the whole request was written is not reused", "[pool]") {
+  loop env;
+  auto request = pooled_request();
   request.method = "POST";
   request.body = std::string(64 << 20, 'b');
-  auto early = ask(here, request);
-  REQUIRE(here.until([&] { return !here.accepted.empty() && !here.accepted[0].received.empty(); }));
-  here.accepted[0].stop_reading();
-  here.accepted[0].send(answer("no"));
-  REQUIRE(here.until([&] { return early->over(); }));
-  auto later = exchange(here, pooled(), answer("yes"), 1);
+  auto early = send_request(env, request);
+  REQUIRE(env.run_until([&] { return !env.accepted.empty() && !env.accepted[0].received.empty(); }));
+  env.accepted[0].stop_reading();
+  env.accepted[0].send(make_response("no"));
+  REQUIRE(env.run_until([&] { return early->finished(); }));
+  auto later = run_exchange(env, pooled_request(), make_response("yes"), 1);
   CHECK(later->body == "yes");
-  CHECK(here.accepted.size() == 2);
+  CHECK(env.accepted.size() == 2);
 }
