--- a/tests/platform_fixture.h
+++ b/tests/platform_fixture.h
@@ -1,4 +1,5 @@
-// A configuration in the platform's words, and calls of the operator.
+// Builders for tests of the platform adapter: a valid configuration document, an adapter for the operator's
+// calls, and requests of the operator.
 #pragma once
 #include <catch2/catch.hpp>
 
@@ -8,6 +9,8 @@
 
 using json = nlohmann::json;
 
+// A valid whole configuration with two routes and two services. One route has an unknown field, which must be
+// kept.
 inline json whole(int version = 7) {
   return {
       {"generation", version},
@@ -47,12 +50,14 @@
       {"caps", {{"header_bytes", 16384}, {"body_bytes", 4194304}, {"header_ms", 3000}, {"idle_ms", 15000}}}};
 }
 
+// An adapter with only the members for the operator's calls, the engine list and load reports.
 inline platform_protocol::adapter words() {
   platform_protocol::adapter made;
   platform::fill_operators(made);
   return made;
 }
 
+// A request of the operator.
 inline runtime::inbound_request call(const std::string& method, const std::string& path,
                                      const std::string& body = "",
                                      const std::map<std::string, std::string>& headers = {}) {
@@ -64,16 +69,17 @@
   return incoming;
 }
 
-// Where the first fault lies; "" when there is none.
+// The JSON pointer of the first violation, "whole" if it concerns the whole document, "" if there is none.
 inline std::string against(const std::string& body, const std::optional<std::string>& current = std::nullopt,
                            bool partial = false) {
   auto read = platform::read_configuration(current, {0, partial, body});
-  auto* faults = std::get_if<std::vector<routing::violation>>(&read);
-  if (!faults) return "";
-  REQUIRE(!faults->empty());
-  return faults->front().pointer.empty() ? "whole" : faults->front().pointer;
+  auto* violations = std::get_if<std::vector<routing::violation>>(&read);
+  if (!violations) return "";
+  REQUIRE(!violations->empty());
+  return violations->front().pointer.empty() ? "whole" : violations->front().pointer;
 }
 inline std::string against(const json& body) { return against(body.dump()); }
+// Parses a document that must be valid.
 inline platform_protocol::configuration read(const std::string& body,
                                              const std::optional<std::string>& current = std::nullopt,
                                              bool partial = false) {
--- a/tests/platform_operators_test.cc
+++ b/tests/platform_operators_test.cc
@@ -1,4 +1,4 @@
-// The operator's calls, the list of engines and the reports, in the users' platform's words.
+// Tests the parsing of the operator's configurations and amendments, and names in the paths of its calls.
 #include "platform_fixture.h"
 
 using namespace herontally;
@@ -6,11 +6,11 @@
 
 TEST_CASE("a whole configuration is kept as sent and becomes a routing table") {
   auto text = whole().dump(2);
-  auto got = read(text);
-  CHECK(got.source == text);
-  CHECK(got.table.version == 7);
-  REQUIRE(got.table.routes.size() == 2);
-  auto& talk = got.table.routes[0];
+  auto result = read(text);
+  CHECK(result.source == text);
+  CHECK(result.table.version == 7);
+  REQUIRE(result.table.routes.size() == 2);
+  auto& talk = result.table.routes[0];
   CHECK(talk.kind == routing::category::streaming);
   CHECK(talk.deadline == 4000);
   CHECK(talk.latency_target == 200);
@@ -19,17 +19,17 @@
   CHECK(talk.interval_target == 300);
   CHECK((talk.kept && talk.affine && !talk.resumable));
   CHECK(talk.targets[0].share == 90);
-  CHECK(got.table.routes[1].targets[0].service == "tool");
-  auto* chat = got.table.find_service("chat");
+  CHECK(result.table.routes[1].targets[0].service == "tool");
+  auto* chat = result.table.find_service("chat");
   REQUIRE((chat && chat->model));
   CHECK(chat->connections == 360);
   CHECK(chat->cold_rate == 22.5);
   CHECK(chat->model->memory_tokens == 207117);
   CHECK(chat->model->models == std::vector<std::string>{"m"});
-  CHECK(got.table.limits.idle_timeout == 15000);
+  CHECK(result.table.limits.idle_timeout == 15000);
 }
 
-TEST_CASE("each invalid configuration is refused with the field that is wrong") {
+TEST_CASE("an invalid configuration is rejected with the pointer of the invalid field") {
   auto body = whole();
   auto& route = body["routing"][0];
   CHECK(against(body) == "");
@@ -118,7 +118,7 @@
   }
 }
 
-TEST_CASE("an amendment gives the whole configuration that a reader expects") {
+TEST_CASE("an amendment adds, replaces and removes items, and an invalid one is rejected") {
   auto current = whole(7).dump();
   auto replaced = whole()["routing"][0];
   replaced["mix"][0]["share"] = 50;
@@ -131,63 +131,64 @@
                {{"routing", json::array({replaced, added})},
                 {"backends", json::array({{{"label", "index"}, {"probe", "/health"}}})}}},
               {"remove", {{"routing", json::array({"look"})}}}};
-  auto got = read(change.dump(), current, true);
+  auto result = read(change.dump(), current, true);
   auto expected = whole(9);
   expected["routing"] = json::array({replaced, added});
   expected["backends"].push_back({{"label", "index"}, {"probe", "/health"}});
-  CHECK(json::parse(got.source) == expected);
-  CHECK(got.table.version == 9);
-  CHECK(got.table.routes.size() == 2);
-  CHECK(got.table.find_service("index"));
+  CHECK(json::parse(result.source) == expected);
+  CHECK(result.table.version == 9);
+  CHECK(result.table.routes.size() == 2);
+  CHECK(result.table.find_service("index"));
 
-  auto refused = [&](json other) { return against(other.dump(), current, true); };
+  auto first_violation = [&](json other) { return against(other.dump(), current, true); };
   auto other = change;
   other["generation"] = 7;
-  CHECK(refused(other) == "/generation");
+  CHECK(first_violation(other) == "/generation");
   other = change;
   other.erase("generation");
-  CHECK(refused(other) == "/generation");
+  CHECK(first_violation(other) == "/generation");
   other = change;
   other["remove"]["backends"] = json::array({"tool"});
-  CHECK(refused(other) == "/routing/0/mix/1/backend");
+  CHECK(first_violation(other) == "/routing/0/mix/1/backend");
   other = change;
   other["upsert"]["routing"][0].erase("label");
-  CHECK(refused(other) == "/upsert/routing");
+  CHECK(first_violation(other) == "/upsert/routing");
   other = change;
   other["upsert"]["routing"] = 5;
-  CHECK(refused(other) == "/upsert/routing");
+  CHECK(first_violation(other) == "/upsert/routing");
   other = change;
   other["remove"]["routing"] = "look";
-  CHECK(refused(other) == "/remove/routing");
+  CHECK(first_violation(other) == "/remove/routing");
   other = change;
   other["upsert"] = json::array();
-  CHECK(refused(other) == "/upsert");
+  CHECK(first_violation(other) == "/upsert");
 }
 
-// Guards against review case 2 (FAULT): an amendment that ends every core that reads it.
-TEST_CASE("an amendment with a value of another form than its member's is refused") {
+// Guards against a crash: an amendment that had a value of another type than the member that it changes ended
+// every core that read it.
+TEST_CASE("an amendment with a value of another type than its member's is rejected") {
   auto current = whole(7).dump();
   auto route = whole()["routing"][0];
-  auto refused = [&current](const char* member, const json& value) {
+  auto first_violation = [&current](const char* member, const json& value) {
     return against(json{{"generation", 9}, {"upsert", {{member, value}}}}.dump(), current, true);
   };
-  CHECK(refused("routing", route) == "/upsert/routing");
-  CHECK(refused("backends", json::object({{"label", "chat"}})) == "/upsert/backends");
-  CHECK(refused("principals", json::object({{"label", "t"}})) == "/upsert/principals");
-  CHECK(refused("generation", json::object({{"a", 1}})) == "/upsert/generation");
-  CHECK(refused("caps", json::array({route})) == "/upsert/caps");
-  CHECK(refused("routing", json::array({json::array()})) == "/upsert/routing");
-  CHECK(refused("news", 5) == "/upsert/news");
-  auto removal = [&current](const json& labels) {
+  CHECK(first_violation("routing", route) == "/upsert/routing");
+  CHECK(first_violation("backends", json::object({{"label", "chat"}})) == "/upsert/backends");
+  CHECK(first_violation("principals", json::object({{"label", "t"}})) == "/upsert/principals");
+  CHECK(first_violation("generation", json::object({{"a", 1}})) == "/upsert/generation");
+  CHECK(first_violation("caps", json::array({route})) == "/upsert/caps");
+  CHECK(first_violation("routing", json::array({json::array()})) == "/upsert/routing");
+  CHECK(first_violation("news", 5) == "/upsert/news");
+  auto violation_of_removal = [&current](const json& labels) {
     return against(json{{"generation", 9}, {"remove", {{"routing", labels}}}}.dump(), current, true);
   };
-  CHECK(removal(json::object({{"look", true}})) == "/remove/routing");
-  CHECK(removal(json::array({5})) == "/remove/routing");
-  CHECK(removal(json::array({"look"})) == "");
+  CHECK(violation_of_removal(json::object({{"look", true}})) == "/remove/routing");
+  CHECK(violation_of_removal(json::array({5})) == "/remove/routing");
+  CHECK(violation_of_removal(json::array({"look"})) == "");
 }
 
-// Guards against the same: what an operator nests without end exhausts the stack of whoever handles it.
-TEST_CASE("a document that is nested too deeply is refused, whole or as an amendment") {
+// Guards against a crash: a deeply nested document exhausts the stack when it is copied, compared or written.
+TEST_CASE("a document that is nested too deeply is rejected, as a whole or as an amendment") {
   constexpr int depth = 200'000;
   auto nested = std::string(depth, '[') + std::string(depth, ']');
   auto with_nested = [&nested](json document, const std::string& member) {
@@ -198,13 +199,13 @@
   CHECK(against(with_nested(whole(7), "news")) == "whole");
   auto group = with_nested(json::object(), "a");
   CHECK(against("{\"generation\":9,\"upsert\":{\"caps\":" + group + "}}", whole(7).dump(), true) == "whole");
-  // One that was acknowledged before the bound can be replaced, and not amended.
-  auto before = with_nested(whole(7), "news");
-  CHECK(against(json{{"generation", 9}}.dump(), before, true) == "whole");
-  CHECK(against(whole(9).dump(), before) == "");
+  // A document that was acknowledged before this limit existed can be replaced, but not amended.
+  auto current = with_nested(whole(7), "news");
+  CHECK(against(json{{"generation", 9}}.dump(), current, true) == "whole");
+  CHECK(against(whole(9).dump(), current) == "");
 }
 
-TEST_CASE("a version after which no other could be named is refused") {
+TEST_CASE("a version is rejected if the next one could not be given as a base version") {
   CHECK(against(whole(7).dump(), std::nullopt) == "");
   auto body = whole(7);
   body["generation"] = 999'999'999'999'999'998;
@@ -215,10 +216,10 @@
   CHECK(against(body) == "/generation");
 }
 
-TEST_CASE("a name that can't be stored as text names no zone and no machine") {
-  auto made = words();
+TEST_CASE("a name that isn't printable text is rejected as the name of a zone or node") {
+  auto adapter = words();
   for (auto* path : {"/-/evacuation/\x85/begin", "/-/retire/a\xff/begin", "/-/retire/a b/read"}) {
-    auto read = made.read_command(call("POST", path));
-    CHECK(std::holds_alternative<platform_protocol::unknown_command>(read));
+    auto command = adapter.read_command(call("POST", path));
+    CHECK(std::holds_alternative<platform_protocol::unknown_command>(command));
   }
 }
