--- a/tests/platform_site.cc
+++ b/tests/platform_site.cc
@@ -1,4 +1,4 @@
-// The machines of the site, their settings, and the platform beside them.
+// The machines of the site, their settings and faults, and the platform's readiness probes.
 #include "platform_site.h"
 
 #include <algorithm>
@@ -24,153 +24,152 @@
   return shape;
 }
 
-site::site(simulator::world& where, oracle& judge, site_shape shape)
-    : where_(where), judge_(judge), shape_(shape), control_(make_control_oracle()) {
+site::site(simulator::world& world, oracle& rule_oracle, site_shape shape)
+    : world_(world), rule_oracle_(rule_oracle), shape_(shape), control_(make_control_oracle()) {
   for (auto* name : {"clients", "operator", "platform"}) {
-    where_.machine(name, "");
-    where_.boot(name);
+    world_.machine(name, "");
+    world_.boot(name);
   }
-  where_.runtime_of("platform").http_serve(platform_address, [this](auto incoming, auto out) {
+  world_.runtime_of("platform").http_serve(platform_address, [this](auto incoming, auto out) {
     serve_list(std::move(incoming), std::move(out));
   });
 }
 
-// What cores and stores log of their roles and groups belongs to the story of a run.
-void site::tell_of_control(const json& line) {
-  static const std::set<std::string> told{"moving a group of voters",
-                                          "group of voters moved",
-                                          "a move of a group of voters was refused",
-                                          "a group of voters can't bear all losses that it should",
-                                          "singleton role claimed",
-                                          "singleton role given up",
-                                          "voter begins empty",
-                                          "started"};
-  if (line["level"] == "error" || told.contains(line["event"])) tell("  " + line.dump());
+// Adds the log lines of nodes about singleton roles and groups of voters, and all errors, to the event log.
+void site::log_control_event(const json& line) {
+  static const std::set<std::string> logged{"moving a group of voters",
+                                            "group of voters moved",
+                                            "a move of a group of voters was refused",
+                                            "a group of voters can't bear all losses that it should",
+                                            "singleton role claimed",
+                                            "singleton role given up",
+                                            "voter begins empty",
+                                            "started"};
+  if (line["level"] == "error" || logged.contains(line["event"])) log_event("  " + line.dump());
 }
 
 simulator::control_oracle site::make_control_oracle() {
   simulator::watched_site watched;
-  watched.cores = [this] { return of_role("core"); };
-  watched.stores = [this] { return of_role("store"); };
+  watched.cores = [this] { return machines_of_role("core"); };
+  watched.stores = [this] { return machines_of_role("store"); };
   watched.report = [this](const std::string& rule, const std::string& what) {
-    judge_.violations.push_back({rule, what, where_.now()});
+    rule_oracle_.violations.push_back({rule, what, world_.now()});
   };
   watched.budget = {shape_.losses, 1};
-  return simulator::control_oracle(where_, std::move(watched));
+  return simulator::control_oracle(world_, std::move(watched));
 }
 
 std::string site::add(const std::string& role, const std::string& zone) {
-  int number = ++hosts_[role];
+  int number = ++machine_counts_[role];
   std::string name = role + "-" + std::to_string(number);
   const char* part = role == "core" ? "0" : role == "store" ? "1" : "2";
-  places_[name] = {name, role, zone, std::string("10.0.") + part + "." + std::to_string(number)};
-  where_.machine(name, zone);
-  if (role == "edge") where_.machine(agent_of(name), zone);
+  machines_[name] = {name, role, zone, std::string("10.0.") + part + "." + std::to_string(number)};
+  world_.machine(name, zone);
+  if (role == "edge") world_.machine(agent_of(name), zone);
   return name;
 }
 
-std::string site::draw_zone() { return zones[where_.draw(static_cast<std::uint64_t>(shape_.zones))]; }
+std::string site::random_zone() { return zones[world_.draw(static_cast<std::uint64_t>(shape_.zones))]; }
 
-std::vector<std::string> site::of_role(const std::string& role) const {
+std::vector<std::string> site::machines_of_role(const std::string& role) const {
   std::vector<std::string> names;
-  for (auto& [name, each] : places_)
-    if (each.role == role && !each.gone) names.push_back(name);
+  for (auto& [name, each] : machines_)
+    if (each.role == role && !each.removed) names.push_back(name);
   return names;
 }
 
-std::string site::settings_of(const machine_place& place, const std::string& role) const {
-  // The platform keeps the list of seeds: a machine that was taken away doesn't stand in it at the next
-  // start.
+std::string site::settings_of(const machine_info& machine, const std::string& role) const {
+  // The platform maintains the list of seeds: a removed machine is no longer in it at the next start.
   constexpr std::size_t most_seeds = 3;
-  auto cores = of_role("core");
+  auto cores = machines_of_role("core");
   cores.resize(std::min(cores.size(), most_seeds));
   std::string list;
   for (auto& each : cores) list += (list.empty() ? "\"" : ",\"") + control(each) + "\"";
-  std::string text = "node = \"" + place.name + "\"\nrole = \"" + role + "\"\nip = \"" + place.ip +
-                     "\"\nzone = \"" + place.zone + "\"\nregion = \"r\"\nport_range = [7380,7395]\n" +
-                     "bootstrap = [" + list + "]\ngenesis = " + (founded_ ? "false" : "true") +
+  std::string text = "node = \"" + machine.name + "\"\nrole = \"" + role + "\"\nip = \"" + machine.ip +
+                     "\"\nzone = \"" + machine.zone + "\"\nregion = \"r\"\nport_range = [7380,7395]\n" +
+                     "bootstrap = [" + list + "]\ngenesis = " + (is_founded_ ? "false" : "true") +
                      "\nstate_dir = \"data\"\n[sockets]\n";
-  if (place.role == "edge")
-    text += "ingress = \"" + ingress(place.name) + "\"\nreadiness = \"" + place.ip + ":8141\"\n";
-  if (place.role == "core") text += "control = \"" + control(place.name) + "\"\n";
+  if (machine.role == "edge")
+    text += "ingress = \"" + ingress(machine.name) + "\"\nreadiness = \"" + machine.ip + ":8141\"\n";
+  if (machine.role == "core") text += "control = \"" + control(machine.name) + "\"\n";
   return text + "[fault_budget]\nmachines = " + std::to_string(shape_.losses) + "\nzones = 1\n" +
          "[caps]\ndisk_mb = 320\nmemory_mb = 260\n[bounds]\ngrace_s = 8\ndrain_ms = 3000\n" +
          "[provider]\nendpoint = \"" + platform_address + "\"\nrate_per_s = 40.0\nlag_ms = 800\n";
 }
 
 template <class Node, class... More>
-void site::start(const machine_place& place, const std::string& role, More... more) {
-  std::string name = role == "agent" ? agent_of(place.name) : place.name;
-  where_.boot(name);
-  auto read = platform::read_settings(settings_of(place, role), role);
+void site::start(const machine_info& machine, const std::string& role, More... more) {
+  std::string name = role == "agent" ? agent_of(machine.name) : machine.name;
+  world_.boot(name);
+  auto read = platform::read_settings(settings_of(machine, role), role);
   auto& settings = std::get<settings::settings>(read);
-  logging::logger logger(settings.name, [this](auto&, auto& line) { tell_of_control(line); });
-  auto node = std::make_shared<Node>(where_.runtime_of(name), settings, logger, more...);
-  where_.find(name).node = node;
-  where_.runtime_of(name).spawn([](std::shared_ptr<Node> begun, site* self, std::string own) -> task<> {
+  logging::logger logger(settings.name, [this](auto&, auto& line) { log_control_event(line); });
+  auto node = std::make_shared<Node>(world_.runtime_of(name), settings, logger, more...);
+  world_.find(name).node = node;
+  world_.runtime_of(name).spawn([](std::shared_ptr<Node> begun, site* self, std::string own) -> task<> {
     auto fault = co_await begun->start();
-    // The platform starts anew what gave up at its start.
-    if (fault) self->tell(own + " gave up: " + *fault);
+    // Only logged: the platform restarts a process that fails at its start.
+    if (fault) self->log_event(own + " failed to start: " + *fault);
   }(node, this, name));
 }
 
 void site::boot(const std::string& name) {
-  auto& place = places_.at(name);
-  if (where_.find(name).up || place.gone) return;
-  auto speech = platform::make_adapter();
-  if (place.role == "core") start<control_node::node>(place, "core", speech);
-  if (place.role == "store") start<storage_node::node>(place, "store");
-  if (place.role == "edge") {
-    start<agent::node>(place, "agent", speech);
-    start<proxy::node>(place, "proxy", proxy::platform_options{speech, std::nullopt});
+  auto& machine = machines_.at(name);
+  if (world_.find(name).up || machine.removed) return;
+  auto adapter = platform::make_adapter();
+  if (machine.role == "core") start<control_node::node>(machine, "core", adapter);
+  if (machine.role == "store") start<storage_node::node>(machine, "store");
+  if (machine.role == "edge") {
+    start<agent::node>(machine, "agent", adapter);
+    start<proxy::node>(machine, "proxy", proxy::platform_options{adapter, std::nullopt});
   }
-  judge_.calm(name);
+  rule_oracle_.fault_ends(name);
 }
 
 void site::kill(const std::string& name, simulator::disk_loss loss, bool silent) {
-  judge_.trouble(name);
-  where_.kill(name, loss, silent);
-  if (places_.at(name).role == "edge") where_.kill(agent_of(name), loss, silent);
+  rule_oracle_.fault_begins(name);
+  world_.kill(name, loss, silent);
+  if (machines_.at(name).role == "edge") world_.kill(agent_of(name), loss, silent);
 }
 
 void site::freeze(const std::string& name, bool on) {
   if (on)
-    judge_.trouble(name);
+    rule_oracle_.fault_begins(name);
   else
-    judge_.calm(name);
-  bool edge = places_.at(name).role == "edge";
+    rule_oracle_.fault_ends(name);
+  bool edge = machines_.at(name).role == "edge";
   for (auto& each : {name, agent_of(name)}) {
     if (each != name && !edge) continue;
-    on ? where_.freeze(each) : where_.wake(each);
+    on ? world_.freeze(each) : world_.wake(each);
   }
 }
 
-void site::cut_off(const std::string& name, bool both_ways) {
-  judge_.trouble(name);
-  for (auto& other : where_.names()) {
+void site::cut_network(const std::string& name, bool both_ways) {
+  rule_oracle_.fault_begins(name);
+  for (auto& other : world_.names()) {
     if (other == name || other == agent_of(name)) continue;
     for (auto& own : {name, agent_of(name)}) {
-      if (own != name && places_.at(name).role != "edge") continue;
-      where_.cut(own, other);
-      if (both_ways) where_.cut(other, own);
+      if (own != name && machines_.at(name).role != "edge") continue;
+      world_.cut(own, other);
+      if (both_ways) world_.cut(other, own);
     }
   }
 }
-void site::isolate(const std::string& name) {
-  judge_.trouble(name);
-  for (auto& [other, place] : places_) {
-    if (other == name || place.role == "edge") continue;
-    where_.cut(name, other);
-    where_.cut(other, name);
+void site::isolate_from_data_nodes(const std::string& name) {
+  rule_oracle_.fault_begins(name);
+  for (auto& [other, machine] : machines_) {
+    if (other == name || machine.role == "edge") continue;
+    world_.cut(name, other);
+    world_.cut(other, name);
   }
 }
 void site::heal(const std::string& name) {
-  for (auto& other : where_.names())
+  for (auto& other : world_.names())
     for (auto& own : {name, agent_of(name)}) {
-      where_.heal(own, other);
-      where_.heal(other, own);
+      world_.heal(own, other);
+      world_.heal(other, own);
     }
-  judge_.calm(name);
+  rule_oracle_.fault_ends(name);
 }
 
 template <class Node>
@@ -179,66 +178,67 @@
   done.set(true);
 }
 
-// As the program does on SIGTERM: leave, then end; the platform kills it after the grace.
+// What the program does on SIGTERM: it leaves, then ends. The platform kills it after the grace period.
 template <class Node>
-static task<> leave_and_end(std::shared_ptr<Node> node, simulator::world* where, std::string name,
+static task<> leave_and_end(std::shared_ptr<Node> node, simulator::world* world, std::string name,
                             std::uint64_t life) {
-  auto runtime = where->runtime_of(name);
+  auto runtime = world->runtime_of(name);
   runtime::slot<bool> done(runtime);
   runtime.spawn(leave_into(node, done));
   auto timer = runtime.after(grace - 400 * millisecond, [done] { done.set(false); });
   co_await done.wait();
   runtime.cancel(timer);
-  where->at(where->now(), [where, name, life] {
-    if (where->find(name).life == life) where->kill(name, simulator::disk_loss::none);
+  world->at(world->now(), [world, name, life] {
+    if (world->find(name).life == life) world->kill(name, simulator::disk_loss::none);
   });
 }
 
-void site::roll(const std::string& name) {
-  judge_.notice(name);
+void site::restart_with_notice(const std::string& name) {
+  rule_oracle_.shutdown_notice(name);
   auto leave = [this](const std::string& process, auto pointer) {
-    where_.runtime_of(process).spawn(leave_and_end(pointer, &where_, process, where_.find(process).life));
+    world_.runtime_of(process).spawn(leave_and_end(pointer, &world_, process, world_.find(process).life));
   };
-  auto node = [this](const std::string& process) -> std::any& { return where_.find(process).node; };
-  auto& place = places_.at(name);
-  if (place.role == "core") leave(name, std::any_cast<std::shared_ptr<control_node::node>>(node(name)));
-  if (place.role == "store") leave(name, std::any_cast<std::shared_ptr<storage_node::node>>(node(name)));
-  if (place.role == "edge") {
+  auto node = [this](const std::string& process) -> std::any& { return world_.find(process).node; };
+  auto& machine = machines_.at(name);
+  if (machine.role == "core") leave(name, std::any_cast<std::shared_ptr<control_node::node>>(node(name)));
+  if (machine.role == "store") leave(name, std::any_cast<std::shared_ptr<storage_node::node>>(node(name)));
+  if (machine.role == "edge") {
     auto agent = agent_of(name);
     leave(name, std::any_cast<std::shared_ptr<proxy::node>>(node(name)));
     leave(agent, std::any_cast<std::shared_ptr<agent::node>>(node(agent)));
   }
-  where_.at(where_.now() + grace, [this, name] {
-    where_.kill(name, simulator::disk_loss::none);
-    if (places_.at(name).role == "edge") where_.kill(agent_of(name), simulator::disk_loss::none);
+  world_.at(world_.now() + grace, [this, name] {
+    world_.kill(name, simulator::disk_loss::none);
+    if (machines_.at(name).role == "edge") world_.kill(agent_of(name), simulator::disk_loss::none);
     boot(name);
   });
 }
 
-void site::take_away(const std::string& name) {
+void site::remove_machine(const std::string& name) {
   kill(name, simulator::disk_loss::all, false);
-  places_.at(name).gone = true;
-  // Taken away in order it is no trouble.
-  judge_.calm(name);
+  machines_.at(name).removed = true;
+  // An orderly removal doesn't count as a fault.
+  rule_oracle_.fault_ends(name);
 }
 
-void site::tell(const std::string& what) {
-  story.push_back(std::to_string(where_.now() / millisecond) + " ms " + what);
+void site::log_event(const std::string& what) {
+  event_log.push_back(std::to_string(world_.now() / millisecond) + " ms " + what);
 }
 
-// Clients keep to the machines that answer the platform's question; two misses put one out.
-task<> site::probe_forever() {
-  auto runtime = where_.runtime_of("platform");
+// The platform's readiness probes: clients are sent to edges that answer them; two failures in a row exclude
+// an edge.
+task<> site::probe_edges_forever() {
+  auto runtime = world_.runtime_of("platform");
   while (true) {
-    for (auto& name : of_role("edge"))
+    for (auto& name : machines_of_role("edge"))
       runtime.spawn([](site* self, runtime::handle runtime, std::string name) -> task<> {
         runtime::http_request asked;
         asked.path = "/-/ready";
         auto result =
-            co_await runtime::http_fetch(runtime, self->places_.at(name).ip + ":8141", asked, second);
+            co_await runtime::http_fetch(runtime, self->machines_.at(name).ip + ":8141", asked, second);
         auto* response = std::get_if<runtime::http_response>(&result);
         bool ready = response && response->status == 200;
-        self->missed_[name] = ready ? 0 : self->missed_[name] + 1;
+        self->failed_probes_[name] = ready ? 0 : self->failed_probes_[name] + 1;
       }(this, runtime, name));
     co_await runtime.sleep(second);
   }
@@ -246,14 +246,14 @@
 
 std::string site::pick_edge(const std::string& zone) {
   std::vector<std::string> near, ready, any;
-  for (auto& name : of_role("edge")) {
-    bool in = missed_[name] < 2;
+  for (auto& name : machines_of_role("edge")) {
+    bool is_ready = failed_probes_[name] < 2;
     any.push_back(name);
-    if (in) ready.push_back(name);
-    if (in && places_.at(name).zone == zone) near.push_back(name);
+    if (is_ready) ready.push_back(name);
+    if (is_ready && machines_.at(name).zone == zone) near.push_back(name);
   }
   auto& from = !near.empty() ? near : !ready.empty() ? ready : any;
-  return from[where_.draw(from.size())];
+  return from[world_.draw(from.size())];
 }
 
 bool site::begin() {
@@ -263,22 +263,23 @@
   for (int number = 0; number < 6; ++number) add_engine("models", zones[number % shape_.zones], "");
   for (auto* service : {"apps_a", "apps_b"})
     for (int number = 0; number < shape_.zones; ++number) add_engine(service, zones[number], "");
-  for (auto& [machine, life] : lives_) life->cold_until = -1;
-  for (auto& [name, each] : places_) {
-    missed_[name] = 2;
+  for (auto& [machine, engine] : engines_) engine->cold_until = -1;
+  for (auto& [name, each] : machines_) {
+    failed_probes_[name] = 2;
     boot(name);
   }
-  where_.runtime_of("platform").spawn(probe_forever());
+  world_.runtime_of("platform").spawn(probe_edges_forever());
   auto first = next_version(0);
-  where_.runtime_of("operator").spawn([](site* self, version first) -> task<> {
-    while (self->current == 0) co_await self->change(first, false);
+  world_.runtime_of("operator").spawn([](site* self, version first) -> task<> {
+    while (self->acknowledged_version == 0) co_await self->change(first, false);
   }(this, first));
-  founded_ = true;
-  bool ready = where_.run_until(
+  is_founded_ = true;
+  bool ready = world_.run_until(
       [this] {
-        auto edges = of_role("edge");
-        return current > 0 &&
-               std::all_of(edges.begin(), edges.end(), [this](auto& name) { return missed_[name] == 0; });
+        auto edges = machines_of_role("edge");
+        return acknowledged_version > 0 && std::all_of(edges.begin(), edges.end(), [this](auto& name) {
+                 return failed_probes_[name] == 0;
+               });
       },
       60 * second);
   control_.start();
--- a/tests/platform_site_clients.cc
+++ b/tests/platform_site_clients.cc
@@ -1,63 +1,65 @@
-// Clients as the users' pages describe them: tries with ids of their own, programs, helpers and tool calls.
+// Clients that behave as the users specify: each attempt has an id of its own; programs run chains of turns,
+// branch and make tool calls.
 #include "platform_site.h"
 
 namespace herontally::platform_simulator {
 
 struct site::program {
   std::string name, session;
-  std::int64_t budget = 0, most = 40;
+  std::int64_t budget = 0, max_tokens = 40;
   microseconds deadline = 0;
-  bool over = false, runs_away = false;
-  int lines = 0;
+  bool ended = false, exceeds_budget = false;
+  int branches = 0;
 };
 
-microseconds site::longest_rest() const {
-  // Four fifths of what the configuration allows, where connections are to rest.
+microseconds site::max_idle_time() const {
+  // With long requests, four fifths of the idle timeout in the configuration (idle_ms).
   return (long_requests_ ? 12 : 4) * second;
 }
 
-void site::begin_rest(connection& kept) {
+void site::begin_idle(connection& kept) {
   if (!long_requests_) return;
-  ++where_.find(kept.edge).resting_connections[ingress(kept.edge)];
-  kept.rests = true;
-  where_.at(where_.now() + longest_rest(), [this, &kept, since = kept.used] {
-    if (kept.used == since) end_rest(kept);
+  ++world_.find(kept.edge).resting_connections[ingress(kept.edge)];
+  kept.is_idle = true;
+  world_.at(world_.now() + max_idle_time(), [this, &kept, since = kept.used] {
+    if (kept.used == since) end_idle(kept);
   });
 }
 
-void site::end_rest(connection& kept) {
-  if (!kept.rests) return;
-  kept.rests = false;
-  auto& machine = where_.find(kept.edge);
-  // With the process its connections have ended.
+void site::end_idle(connection& kept) {
+  if (!kept.is_idle) return;
+  kept.is_idle = false;
+  auto& machine = world_.find(kept.edge);
+  // If the process has restarted, its connections are gone and the count was reset.
   if (machine.life == kept.life) --machine.resting_connections[ingress(kept.edge)];
 }
 
-// One try on a new connection.
-task<outcome> site::try_once(sent_request one, std::map<std::string, std::string> headers, std::string zone) {
-  auto runtime = where_.runtime_of("clients");
-  // Some clients keep a connection, and with it their machine, for several requests.
-  auto& kept = connections_[where_.draw(connections_.size())];
-  bool keeps = where_.draw(2) == 0;
-  bool open = keeps && !kept.edge.empty() && where_.now() < kept.used + longest_rest() &&
-              where_.find(kept.edge).up && where_.find(kept.edge).life == kept.life;
-  one.edge = open ? kept.edge : pick_edge(zone);
-  kept.used = keeps ? where_.now() : kept.used;
-  if (open) end_rest(kept);
-  auto attempt = one.attempt;
+// Sends one attempt, on a new connection or on a kept one.
+task<outcome> site::send_attempt(sent_request sent, std::map<std::string, std::string> headers,
+                                 std::string zone) {
+  auto runtime = world_.runtime_of("clients");
+  // Half of the attempts use a kept connection, and so the same edge as the requests before on it.
+  auto& kept = connections_[world_.draw(connections_.size())];
+  bool reuses = world_.draw(2) == 0;
+  bool open = reuses && !kept.edge.empty() && world_.now() < kept.used + max_idle_time() &&
+              world_.find(kept.edge).up && world_.find(kept.edge).life == kept.life;
+  sent.edge = open ? kept.edge : pick_edge(zone);
+  kept.used = reuses ? world_.now() : kept.used;
+  if (open) end_idle(kept);
+  auto attempt = sent.attempt;
   runtime::http_request request;
-  request.method = one.method;
-  request.path = one.target;
-  request.body = one.body;
+  request.method = sent.method;
+  request.path = sent.target;
+  request.body = sent.body;
   request.headers = headers;
   request.headers["host"] = "h.example";
-  request.headers["X-Attempt-Id"] = one.attempt;
-  auto left = one.deadline - where_.now();
+  request.headers["X-Attempt-Id"] = sent.attempt;
+  auto left = sent.deadline - world_.now();
   request.headers["X-Time-Left-Ms"] = std::to_string(left / millisecond);
-  auto edge = one.edge;
+  auto edge = sent.edge;
   auto address = ingress(edge);
-  bool counted = one.kind == "streaming";
-  judge_.request(one);
+  bool counted = sent.kind == "streaming";
+  rule_oracle_.request_sent(sent);
   outcome result;
   std::size_t scanned = 0;
   auto until = runtime.now() + left;
@@ -69,7 +71,7 @@
       break;
     }
     if (auto* failure = std::get_if<runtime::http_failure>(&*event)) {
-      result.unread = !failure->sent;
+      result.not_received = !failure->sent;
       break;
     }
     if (auto* head = std::get_if<runtime::http_head>(&*event)) {
@@ -83,18 +85,18 @@
       scanned = at + 2;
       ++events;
     }
-    if (counted && events > 0 && result.status == 200) judge_.tokens(attempt, events);
+    if (counted && events > 0 && result.status == 200) rule_oracle_.events_received(attempt, events);
     if (std::holds_alternative<runtime::http_end>(*event)) {
-      result.whole = true;
+      result.complete = true;
       break;
     }
   }
   auto close = result.headers.find("connection");
-  bool stays = result.whole && (close == result.headers.end() || close->second != "close");
-  if (keeps) end_rest(kept);
-  if (keeps) kept = stays ? connection{edge, where_.find(edge).life, where_.now()} : connection{};
-  if (keeps && stays) begin_rest(kept);
-  judge_.answer(attempt, result);
+  bool stays_open = result.complete && (close == result.headers.end() || close->second != "close");
+  if (reuses) end_idle(kept);
+  if (reuses) kept = stays_open ? connection{edge, world_.find(edge).life, world_.now()} : connection{};
+  if (reuses && stays_open) begin_idle(kept);
+  rule_oracle_.response_ended(attempt, result);
   co_return result;
 }
 
@@ -103,129 +105,132 @@
   return found == seen.headers.end() ? 0 : std::strtod(found->second.c_str(), nullptr);
 }
 
-task<outcome> site::ask(sent_request one, std::map<std::string, std::string> headers, std::string* attempt) {
-  auto runtime = where_.runtime_of("clients");
-  std::string zone = draw_zone();
+task<outcome> site::send_with_retries(sent_request sent, std::map<std::string, std::string> headers,
+                                      std::string* attempt) {
+  auto runtime = world_.runtime_of("clients");
+  std::string zone = random_zone();
   outcome last;
   for (int number = 0; number < 4; ++number) {
-    one.attempt = "a" + std::to_string(++attempts_);
-    if (attempt) *attempt = one.attempt;
-    last = co_await try_once(one, headers, zone);
+    sent.attempt = "a" + std::to_string(++attempts_);
+    if (attempt) *attempt = sent.attempt;
+    last = co_await send_attempt(sent, headers, zone);
     static const std::set<int> final{400, 401, 402, 403, 404, 413, 431};
-    if (last.whole && (last.status / 100 == 2 || final.count(last.status))) break;
-    bool promised = last.whole && (last.status == 429 || last.status == 503 || last.status == 408);
-    if (one.kind != "idempotent" && !promised && !last.unread) break;
-    auto left = one.deadline - where_.now();
+    if (last.complete && (last.status / 100 == 2 || final.count(last.status))) break;
+    bool promised = last.complete && (last.status == 429 || last.status == 503 || last.status == 408);
+    if (sent.kind != "idempotent" && !promised && !last.not_received) break;
+    auto left = sent.deadline - world_.now();
     auto pause = std::min<microseconds>(static_cast<microseconds>(retry_after(last) * 1e6), left / 3);
     co_await runtime.sleep(std::max<microseconds>(pause, 20 * millisecond));
-    if (where_.now() + 100 * millisecond >= one.deadline) break;
+    if (world_.now() + 100 * millisecond >= sent.deadline) break;
   }
   co_return last;
 }
 
-task<> site::plain(std::string kind, std::string target, microseconds time_left) {
-  sent_request one;
-  one.method = kind == "idempotent" ? "GET" : "POST";
-  one.target = target + "x" + std::to_string(where_.draw(1000)) + "?q=%41";
-  one.kind = kind;
-  one.repeatable = kind == "idempotent";
-  one.deadline = where_.now() + time_left;
+task<> site::send_plain_request(std::string kind, std::string target, microseconds timeout) {
+  sent_request sent;
+  sent.method = kind == "idempotent" ? "GET" : "POST";
+  sent.target = target + "x" + std::to_string(world_.draw(1000)) + "?q=%41";
+  sent.kind = kind;
+  sent.repeatable = kind == "idempotent";
+  sent.deadline = world_.now() + timeout;
   std::map<std::string, std::string> headers;
-  if (kind != "idempotent") one.body = "body " + std::to_string(attempts_);
+  if (kind != "idempotent") sent.body = "body " + std::to_string(attempts_);
   if (kind == "streaming") headers["X-Token-Count"] = "100,40";
-  co_await ask(one, headers, nullptr);
+  co_await send_with_retries(sent, headers, nullptr);
 }
 
-task<> site::run_line(std::shared_ptr<program> whole, std::string previous, int turns) {
-  auto runtime = where_.runtime_of("clients");
-  ++whole->lines;
-  for (int turn = 0; turn < turns && !whole->over && where_.now() < whole->deadline; ++turn) {
-    sent_request one;
-    one.method = "POST";
-    one.target = "/turn/" + whole->name;
-    one.kind = "streaming";
-    one.kept = true;
-    one.previous = previous;
-    one.program = whole->name;
-    one.budget = whole->budget;
-    one.most = whole->most;
-    one.deadline = where_.now() + 4 * second;
+task<> site::run_branch(std::shared_ptr<program> parent, std::string previous, int turns) {
+  auto runtime = world_.runtime_of("clients");
+  ++parent->branches;
+  for (int turn = 0; turn < turns && !parent->ended && world_.now() < parent->deadline; ++turn) {
+    sent_request sent;
+    sent.method = "POST";
+    sent.target = "/turn/" + parent->name;
+    sent.kind = "streaming";
+    sent.kept = true;
+    sent.previous = previous;
+    sent.program = parent->name;
+    sent.budget = parent->budget;
+    sent.max_tokens = parent->max_tokens;
+    sent.deadline = world_.now() + 4 * second;
     std::map<std::string, std::string> headers{
-        {"X-Program", whole->name},
-        {"X-Token-Budget", std::to_string(whole->budget)},
-        {"X-Token-Count", "100," + std::to_string(whole->most)},
-        {"X-Session", whole->name + "-" + std::to_string(whole->lines)},
-        {"X-Program-Deadline-Ms", std::to_string((whole->deadline - where_.now()) / millisecond)}};
+        {"X-Program", parent->name},
+        {"X-Token-Budget", std::to_string(parent->budget)},
+        {"X-Token-Count", "100," + std::to_string(parent->max_tokens)},
+        {"X-Session", parent->name + "-" + std::to_string(parent->branches)},
+        {"X-Program-Deadline-Ms", std::to_string((parent->deadline - world_.now()) / millisecond)}};
     if (!previous.empty()) headers["X-Previous-Turn"] = previous;
     outcome result;
     std::string attempt;
     for (int start = 0; start < 3; ++start) {
-      one.body = "input " + std::to_string(attempts_) + "\n";
-      one.deadline = where_.now() + 4 * second;
-      result = co_await ask(one, headers, &attempt);
-      if (result.whole && result.status >= 200 && result.status < 500 && result.status != 429) break;
-      co_await runtime.sleep((100 + static_cast<microseconds>(where_.draw(300))) * millisecond);
+      sent.body = "input " + std::to_string(attempts_) + "\n";
+      sent.deadline = world_.now() + 4 * second;
+      result = co_await send_with_retries(sent, headers, &attempt);
+      if (result.complete && result.status >= 200 && result.status < 500 && result.status != 429) break;
+      co_await runtime.sleep((100 + static_cast<microseconds>(world_.draw(300))) * millisecond);
     }
-    bool well = result.whole && result.status == 200;
-    whole->over = whole->over || (!well && !whole->runs_away);
-    if (!well) break;
+    bool succeeded = result.complete && result.status == 200;
+    parent->ended = parent->ended || (!succeeded && !parent->exceeds_budget);
+    if (!succeeded) break;
     previous = attempt;
-    for (std::uint64_t call = where_.draw(3); call > 0; --call) {
-      // What may be repeated is the route's to say, so that kind and path belong together.
-      bool writes = where_.draw(2) > 0;
-      runtime.spawn(
-          plain(writes ? "mutating" : "idempotent", writes ? "/write/" : "/look/", usual_time_left));
+    for (std::uint64_t call = world_.draw(3); call > 0; --call) {
+      // The route decides whether a request may be repeated, so that the kind must match the path.
+      bool writes = world_.draw(2) > 0;
+      runtime.spawn(send_plain_request(writes ? "mutating" : "idempotent", writes ? "/write/" : "/look/",
+                                       default_timeout));
     }
-    if (where_.draw(4) == 0 || whole->runs_away) runtime.spawn(run_line(whole, previous, 2));
-    co_await runtime.sleep((50 + static_cast<microseconds>(where_.draw(200))) * millisecond);
+    if (world_.draw(4) == 0 || parent->exceeds_budget) runtime.spawn(run_branch(parent, previous, 2));
+    co_await runtime.sleep((50 + static_cast<microseconds>(world_.draw(200))) * millisecond);
   }
-  judge_.counts["lines"] += 1;
+  rule_oracle_.counts["lines"] += 1;
 }
 
 task<> site::run_program() {
-  auto whole = std::make_shared<program>();
-  whole->name = "p" + std::to_string(++attempts_);
-  whole->runs_away = where_.draw(8) == 0;
-  whole->budget = whole->runs_away ? 160 : 400;
-  whole->deadline = where_.now() + 12 * second;
-  // Now and then a program goes on from a turn of another one.
+  auto parent = std::make_shared<program>();
+  parent->name = "p" + std::to_string(++attempts_);
+  parent->exceeds_budget = world_.draw(8) == 0;
+  parent->budget = parent->exceeds_budget ? 160 : 400;
+  parent->deadline = world_.now() + 12 * second;
+  // Some programs continue from a recent turn of another program.
   std::string from;
-  auto& kept = judge_.kept_turns();
-  if (!kept.empty() && where_.draw(3) == 0)
-    from = kept[kept.size() - 1 - where_.draw(std::min<std::size_t>(kept.size(), 200))];
-  co_await run_line(whole, from, 4);
+  auto& kept = rule_oracle_.kept_turns();
+  if (!kept.empty() && world_.draw(3) == 0)
+    from = kept[kept.size() - 1 - world_.draw(std::min<std::size_t>(kept.size(), 200))];
+  co_await run_branch(parent, from, 4);
 }
 
-task<> site::offer_until(microseconds until, microseconds most_pause) {
-  auto runtime = where_.runtime_of("clients");
-  while (where_.now() < until) {
-    auto kind = where_.draw(16);
+task<> site::run_clients(microseconds until, microseconds max_pause) {
+  auto runtime = world_.runtime_of("clients");
+  while (world_.now() < until) {
+    auto kind = world_.draw(16);
     if (kind < 2) runtime.spawn(run_program());
-    if (kind >= 2 && kind < 5) runtime.spawn(plain("streaming", "/stream/", usual_time_left));
-    if (kind >= 5 && kind < 8) runtime.spawn(plain("mutating", "/write/", usual_time_left));
-    if (kind >= 8 && kind < 11) runtime.spawn(plain("idempotent", "/look/", usual_time_left));
-    if (kind >= 11 && kind < 14) runtime.spawn(plain("idempotent", "/swap/", usual_time_left));
-    if (kind >= 14) runtime.spawn(plain("idempotent", "/v" + std::to_string(current) + "/", usual_time_left));
-    // Bursts come now and then.
-    bool burst = where_.draw(400) == 0;
+    if (kind >= 2 && kind < 5) runtime.spawn(send_plain_request("streaming", "/stream/", default_timeout));
+    if (kind >= 5 && kind < 8) runtime.spawn(send_plain_request("mutating", "/write/", default_timeout));
+    if (kind >= 8 && kind < 11) runtime.spawn(send_plain_request("idempotent", "/look/", default_timeout));
+    if (kind >= 11 && kind < 14) runtime.spawn(send_plain_request("idempotent", "/swap/", default_timeout));
+    if (kind >= 14)
+      runtime.spawn(send_plain_request("idempotent", "/v" + std::to_string(acknowledged_version) + "/",
+                                       default_timeout));
+    // Occasional bursts of 60 requests.
+    bool burst = world_.draw(400) == 0;
     for (int more = 0; burst && more < 60; ++more)
-      runtime.spawn(plain("mutating", "/write/", usual_time_left));
-    auto pause = where_.draw(static_cast<std::uint64_t>(most_pause / millisecond));
+      runtime.spawn(send_plain_request("mutating", "/write/", default_timeout));
+    auto pause = world_.draw(static_cast<std::uint64_t>(max_pause / millisecond));
     co_await runtime.sleep(static_cast<microseconds>(pause) * millisecond);
   }
 }
 
-task<> site::offer_long_until(microseconds until) {
-  auto runtime = where_.runtime_of("clients");
-  while (where_.now() < until) {
-    runtime.spawn(plain("mutating", long_prefix, long_time_left));
-    co_await runtime.sleep((100 + static_cast<microseconds>(where_.draw(200))) * millisecond);
+task<> site::run_long_clients(microseconds until) {
+  auto runtime = world_.runtime_of("clients");
+  while (world_.now() < until) {
+    runtime.spawn(send_plain_request("mutating", long_prefix, long_timeout));
+    co_await runtime.sleep((100 + static_cast<microseconds>(world_.draw(200))) * millisecond);
   }
 }
 
-void site::offer(microseconds until, microseconds most_pause) {
-  if (long_requests_) where_.runtime_of("clients").spawn(offer_long_until(until));
-  where_.runtime_of("clients").spawn(offer_until(until, most_pause));
+void site::start_clients(microseconds until, microseconds max_pause) {
+  if (long_requests_) world_.runtime_of("clients").spawn(run_long_clients(until));
+  world_.runtime_of("clients").spawn(run_clients(until, max_pause));
 }
 
 }  // namespace herontally::platform_simulator
--- a/tests/platform_site_faults.cc
+++ b/tests/platform_site_faults.cc
@@ -1,4 +1,4 @@
-// Faults of the site, and a run of it under them.
+// The kinds of faults and how each is injected.
 #include "platform_site_faults.h"
 
 #include <algorithm>
@@ -23,64 +23,65 @@
   return kinds;
 }
 
-static std::string one_of(site& place, const std::vector<std::string>& names) {
-  return names[place.where().draw(names.size())];
+static std::string one_of(site& target, const std::vector<std::string>& names) {
+  return names[target.world().draw(names.size())];
 }
 
-static void strike_machine(site& place, const std::string& role, const std::string& what) {
-  auto& where = place.where();
-  auto names = place.of_role(role);
-  // One trouble at a time on each machine.
-  std::erase_if(names, [&](auto& each) { return place.judge().in_trouble(each); });
+static void inject_machine_fault(site& target, const std::string& role, const std::string& what) {
+  auto& world = target.world();
+  auto names = target.machines_of_role(role);
+  // A machine has one fault at a time.
+  std::erase_if(names, [&](auto& each) { return target.rule_oracle().has_fault(each); });
   if (names.empty()) return;
-  auto name = one_of(place, names);
-  // Cores and stores keep data that others must copy back: one is struck at a time, and it is back soon.
-  auto span = (500 + static_cast<microseconds>(where.draw(3000))) * millisecond;
-  place.tell(what + " " + name);
-  auto later = [&where, span](std::function<void()> work) { where.at(where.now() + span, std::move(work)); };
+  auto name = one_of(target, names);
+  // Cores and stores hold data that must be copied back from others: only one has a fault at a time, for a
+  // short time.
+  auto span = (500 + static_cast<microseconds>(world.draw(3000))) * millisecond;
+  target.log_event(what + " " + name);
+  auto later = [&world, span](std::function<void()> work) { world.at(world.now() + span, std::move(work)); };
   if (what == "kill" || what == "power" || what == "wipe") {
     auto loss = what == "kill"    ? simulator::disk_loss::none
                 : what == "power" ? simulator::disk_loss::unsynced
                                   : simulator::disk_loss::all;
-    place.kill(name, loss, what != "kill");
-    later([&place, name] { place.boot(name); });
+    target.kill(name, loss, what != "kill");
+    later([&target, name] { target.boot(name); });
   } else if (what == "freeze") {
-    place.freeze(name, true);
-    later([&place, name] { place.freeze(name, false); });
+    target.freeze(name, true);
+    later([&target, name] { target.freeze(name, false); });
   } else if (what == "cut" || what == "oneway") {
-    place.cut_off(name, what == "cut");
-    later([&place, name] { place.heal(name); });
+    target.cut_network(name, what == "cut");
+    later([&target, name] { target.heal(name); });
   } else if (what == "roll") {
-    place.roll(name);
+    target.restart_with_notice(name);
   } else if (what == "replace") {
-    place.kill(name, simulator::disk_loss::all, true);
-    later([&place, name, role] {
-      auto zone = place.zone_of(name);
-      place.take_away(name);
-      place.boot(place.add(role, zone));
+    target.kill(name, simulator::disk_loss::all, true);
+    later([&target, name, role] {
+      auto zone = target.zone_of(name);
+      target.remove_machine(name);
+      target.boot(target.add(role, zone));
     });
   }
 }
 
-static task<> change_and_cut(site* place) {
-  co_await place->change(place->next_version(place->current), false);
-  // Whoever acknowledged may lose power at this very moment.
-  place->where().at(place->where().now(), [place] { strike_machine(*place, "core", "power"); });
+static task<> change_and_cut(site* target) {
+  co_await target->change(target->next_version(target->acknowledged_version), false);
+  // The core that acknowledged may lose power right after the acknowledgement.
+  target->world().at(target->world().now(), [target] { inject_machine_fault(*target, "core", "power"); });
 }
 
-static task<> evacuate_for(site* place, std::string zone) {
-  // Orders that contradict each other while both are under way would leave open which of them counts.
-  if (!place->evacuations.insert(zone).second) co_return;
-  auto runtime = place->where().runtime_of("operator");
-  co_await place->change_zone(zone, true);
+static task<> evacuate_for(site* target, std::string zone) {
+  // With two contradicting calls in progress at once it would be undefined which one takes effect.
+  if (!target->evacuations.insert(zone).second) co_return;
+  auto runtime = target->world().runtime_of("operator");
+  co_await target->change_evacuation(zone, true);
   co_await runtime.sleep(9 * second);
-  bool ended = co_await place->change_zone(zone, false);
-  if (ended) place->evacuations.erase(zone);
+  bool ended = co_await target->change_evacuation(zone, false);
+  if (ended) target->evacuations.erase(zone);
 }
 
-void change(site& place, const std::string& kind) {
-  auto runtime = place.where().runtime_of("operator");
-  auto next = place.next_version(place.current);
+void change(site& target, const std::string& kind) {
+  auto runtime = target.world().runtime_of("operator");
+  auto next = target.next_version(target.acknowledged_version);
   if (kind == "invalid") {
     auto body = json::parse(next.body);
     body["routing"][0]["backend"] = "nowhere";
@@ -90,118 +91,120 @@
   auto spawn = [&](version sent, bool partial) {
     runtime.spawn([](site* self, version sent, bool partial) -> task<> {
       co_await self->change(sent, partial);
-    }(&place, sent, partial));
+    }(&target, sent, partial));
   };
   spawn(next, kind == "amend");
-  if (kind == "race") spawn(place.next_version(place.current), true);
+  if (kind == "race") spawn(target.next_version(target.acknowledged_version), true);
 }
 
-// All machines of a zone go without power and come back together, whatever else was under way.
-static void lose_zone(site& place) {
-  auto& where = place.where();
-  std::string zone = place.draw_zone();
-  place.tell("power of " + zone);
+// All machines of a zone that have no fault lose power and start again together.
+static void lose_zone(site& target) {
+  auto& world = target.world();
+  std::string zone = target.random_zone();
+  target.log_event("power of " + zone);
   std::vector<std::string> lost;
   for (auto* role : {"core", "store", "edge"})
-    for (auto& name : place.of_role(role))
-      if (place.zone_of(name) == zone && !place.judge().in_trouble(name)) lost.push_back(name);
-  for (auto& name : lost) place.kill(name, simulator::disk_loss::unsynced, true);
-  where.at(where.now() + 1500 * millisecond, [&place, lost] {
-    for (auto& name : lost) place.boot(name);
+    for (auto& name : target.machines_of_role(role))
+      if (target.zone_of(name) == zone && !target.rule_oracle().has_fault(name)) lost.push_back(name);
+  for (auto& name : lost) target.kill(name, simulator::disk_loss::unsynced, true);
+  world.at(world.now() + 1500 * millisecond, [&target, lost] {
+    for (auto& name : lost) target.boot(name);
   });
 }
 
-// As many cores as may be lost at once lose their disks and come back together, each knowing only itself.
-static void wipe_many_cores(site& place) {
-  auto& where = place.where();
-  auto cores = place.of_role("core");
+// As many cores as may be lost at once lose their disks and start again together, each without any knowledge
+// of the others.
+static void wipe_many_cores(site& target) {
+  auto& world = target.world();
+  auto cores = target.machines_of_role("core");
   std::set<std::string> lost;
-  while (lost.size() < static_cast<std::size_t>(place.losses())) lost.insert(one_of(place, cores));
+  while (lost.size() < static_cast<std::size_t>(target.losses())) lost.insert(one_of(target, cores));
   for (auto& name : lost) {
-    place.tell("wipe " + name);
-    place.kill(name, simulator::disk_loss::all, true);
+    target.log_event("wipe " + name);
+    target.kill(name, simulator::disk_loss::all, true);
   }
-  where.at(where.now() + 900 * millisecond, [&place, lost] {
-    for (auto& name : lost) place.boot(name);
+  world.at(world.now() + 900 * millisecond, [&target, lost] {
+    for (auto& name : lost) target.boot(name);
   });
 }
 
-// A core without its like for a long time, while operators go on, also with it.
-static void isolate_core(site& place) {
-  auto& where = place.where();
-  auto name = one_of(place, place.of_role("core"));
-  if (place.judge().in_trouble(name)) return;
-  place.tell("isolated " + name);
-  place.isolate(name);
+// Separates a core from the other cores and the stores for a long time, while operators go on sending
+// changes, also to that core.
+static void isolate_core(site& target) {
+  auto& world = target.world();
+  auto name = one_of(target, target.machines_of_role("core"));
+  if (target.rule_oracle().has_fault(name)) return;
+  target.log_event("isolated " + name);
+  target.isolate_from_data_nodes(name);
   for (int each = 1; each <= 5; ++each)
-    where.at(where.now() + each * 4 * second,
-             [&place, each] { change(place, each % 2 ? "race" : "change"); });
-  where.at(where.now() + isolation, [&place, name] { place.heal(name); });
+    world.at(world.now() + each * 4 * second,
+             [&target, each] { change(target, each % 2 ? "race" : "change"); });
+  world.at(world.now() + isolation, [&target, name] { target.heal(name); });
 }
 
-void strike(site& place, const std::string& kind) {
-  auto runtime = place.where().runtime_of("operator");
+void inject_fault(site& target, const std::string& kind) {
+  auto runtime = target.world().runtime_of("operator");
   auto line = kind.find('_');
   auto role = kind.substr(0, line);
   auto what = line == std::string::npos ? "" : kind.substr(line + 1);
   if (kind == "store_add") {
-    place.boot(place.add("store", place.draw_zone()));
+    target.boot(target.add("store", target.random_zone()));
   } else if (kind == "store_retire") {
-    if (place.of_role("store").size() < 4) place.boot(place.add("store", place.draw_zone()));
-    runtime.spawn(place.retire(one_of(place, place.of_role("store"))));
+    if (target.machines_of_role("store").size() < 4) target.boot(target.add("store", target.random_zone()));
+    runtime.spawn(target.retire(one_of(target, target.machines_of_role("store"))));
   } else if (kind == "zone_power") {
-    lose_zone(place);
+    lose_zone(target);
   } else if (kind == "core_wipe_many") {
-    wipe_many_cores(place);
+    wipe_many_cores(target);
   } else if (kind == "core_isolated") {
-    isolate_core(place);
+    isolate_core(target);
   } else if (role == "edge" || role == "core" || role == "store") {
-    strike_machine(place, role, what);
+    inject_machine_fault(target, role, what);
   } else if (kind == "engine_mischief") {
-    place.mischief = 60;
-    place.where().at(place.where().now() + 3 * second, [&place] { place.mischief = 0; });
+    target.misbehaviour_per_thousand = 60;
+    target.world().at(target.world().now() + 3 * second, [&target] { target.misbehaviour_per_thousand = 0; });
   } else if (role == "engine") {
-    auto machine = one_of(place, place.engines());
-    place.tell(kind + " " + machine);
-    if (what == "release") place.release_engine(machine);
-    if (what == "crash") place.crash_engine(machine);
-    if (what == "chill") place.chill_engine(machine);
+    auto machine = one_of(target, target.engines());
+    target.log_event(kind + " " + machine);
+    if (what == "release") target.replace_engine(machine);
+    if (what == "crash") target.crash_engine(machine);
+    if (what == "chill") target.make_engine_cold(machine);
   } else if (kind == "evacuate") {
-    runtime.spawn(evacuate_for(&place, place.draw_zone()));
+    runtime.spawn(evacuate_for(&target, target.random_zone()));
   } else if (kind == "acknowledged_power") {
-    runtime.spawn(change_and_cut(&place));
+    runtime.spawn(change_and_cut(&target));
   } else {
-    change(place, kind);
+    change(target, kind);
   }
 }
 
-// Machines that keep data, drawn without a repeat.
-static std::set<std::string> draw_losses(site& place, int count) {
-  std::vector<std::string> holders = place.of_role("core");
-  for (auto& name : place.of_role("store")) holders.push_back(name);
+// Different random machines that keep data.
+static std::set<std::string> draw_losses(site& target, int count) {
+  std::vector<std::string> holders = target.machines_of_role("core");
+  for (auto& name : target.machines_of_role("store")) holders.push_back(name);
   std::set<std::string> lost;
-  while (lost.size() < static_cast<std::size_t>(count)) lost.insert(one_of(place, holders));
+  while (lost.size() < static_cast<std::size_t>(count)) lost.insert(one_of(target, holders));
   return lost;
 }
 
-void closing_fault(site& place, const std::string& kind, int losses) {
-  auto& where = place.where();
-  place.tell("closing fault: " + kind);
-  place.judge().closing_fault();
+void inject_closing_fault(site& target, const std::string& kind, int losses) {
+  auto& world = target.world();
+  target.log_event("closing fault: " + kind);
+  target.rule_oracle().closing_fault();
   std::vector<std::string> all;
   for (auto* role : {"edge", "core", "store"})
-    for (auto& name : place.of_role(role)) all.push_back(name);
-  auto lost = draw_losses(place, kind == "disk_lost" ? losses : 0);
-  for (auto& name : lost) place.tell("the disk of " + name + " is lost");
+    for (auto& name : target.machines_of_role(role)) all.push_back(name);
+  auto lost = draw_losses(target, kind == "disk_lost" ? losses : 0);
+  for (auto& name : lost) target.log_event("the disk of " + name + " is lost");
   for (auto& name : all)
-    place.kill(name,
-               lost.count(name)     ? simulator::disk_loss::all
-               : kind == "all_kill" ? simulator::disk_loss::none
-                                    : simulator::disk_loss::unsynced,
-               kind != "all_kill");
-  where.run_for(2 * second);
-  for (auto& name : all) place.boot(name);
-  place.judge().machines_back();
+    target.kill(name,
+                lost.count(name)     ? simulator::disk_loss::all
+                : kind == "all_kill" ? simulator::disk_loss::none
+                                     : simulator::disk_loss::unsynced,
+                kind != "all_kill");
+  world.run_for(2 * second);
+  for (auto& name : all) target.boot(name);
+  target.rule_oracle().machines_back();
 }
 
 }  // namespace herontally::platform_simulator
--- a/tests/platform_site_operator.cc
+++ b/tests/platform_site_operator.cc
@@ -1,5 +1,5 @@
-// The operator: configurations whole and in part, evacuations and retirements, sent again until the end is
-// clear.
+// The operator: sends whole configurations, amendments, evacuations and retirements, and repeats each call
+// until its result is clear.
 #include "platform_site.h"
 
 namespace herontally::platform_simulator {
@@ -25,21 +25,21 @@
   return {from["category"], from.value("retained", false), {from["backend"].get<std::string>()}};
 }
 
-// Each version swaps one route between two services and has a route of its own.
+// Each version moves one route between two services and has a route that only it and the next one have.
 version site::next_version(std::int64_t base) {
   version next;
   next.base = base;
-  generation_ += 1 + static_cast<int>(where_.draw(3));
-  ++marker_;
+  generation_ += 1 + static_cast<int>(world_.draw(3));
+  ++version_count_;
   next.generation = generation_;
   auto own = "/v" + std::to_string(next.generation) + "/";
   json routes = json::array({route("/turn/", "streaming", "models"), route("/stream/", "streaming", "models"),
                              route("/look/", "idempotent", "apps_a"), route("/write/", "mutating", "apps_a"),
-                             route("/swap/", "idempotent", marker_ % 2 ? "apps_a" : "apps_b"),
+                             route("/swap/", "idempotent", version_count_ % 2 ? "apps_a" : "apps_b"),
                              route(own, "idempotent", "apps_b")});
   if (long_requests_) {
     auto long_route = route(long_prefix, "mutating", "apps_a");
-    long_route["deadline_ms"] = long_time_left / millisecond;
+    long_route["deadline_ms"] = long_timeout / millisecond;
     long_route["target_ms"] = 1200;
     routes.push_back(long_route);
   }
@@ -66,25 +66,25 @@
   return next;
 }
 
-// Any node, the same call again until its end is clear.
+// A call may go to any core; the same call is sent again until its result is clear.
 task<int> site::call(std::string method, std::string path, std::string body, std::string base,
-                     std::string* read, microseconds most) {
-  auto runtime = where_.runtime_of("operator");
-  auto until = runtime.now() + most;
+                     std::string* response_body, microseconds timeout) {
+  auto runtime = world_.runtime_of("operator");
+  auto until = runtime.now() + timeout;
   int refused = 0;
   auto pause = 100 * millisecond;
   while (runtime.now() < until) {
-    auto cores = of_role("core");
+    auto cores = machines_of_role("core");
     runtime::http_request request;
     request.method = method;
     request.path = path;
     request.body = body;
     if (!base.empty()) request.headers["X-Base-Version"] = base;
     auto result =
-        co_await runtime::http_fetch(runtime, control(cores[where_.draw(cores.size())]), request, second);
+        co_await runtime::http_fetch(runtime, control(cores[world_.draw(cores.size())]), request, second);
     auto* response = std::get_if<runtime::http_response>(&result);
     int status = response ? response->status : 0;
-    if (response && read) *read = response->body;
+    if (response && response_body) *response_body = response->body;
     static const std::set<int> final{400, 409, 412, 413, 422};
     bool other = status >= 400 && status < 500 && status != 408 && status != 429;
     if (status / 100 == 2 || final.count(status) || (other && ++refused == 3)) co_return status;
@@ -94,27 +94,29 @@
   co_return 0;
 }
 
-// One question to one core; the answer is judged by what was acknowledged before it was asked.
-task<> site::read_at(std::string core) {
-  auto runtime = where_.runtime_of("operator");
-  auto asked = where_.now();
+// Reads from one core; the response is checked against what was acknowledged before the request was sent.
+task<> site::read_from(std::string core) {
+  auto runtime = world_.runtime_of("operator");
+  auto asked = world_.now();
   runtime::http_request request;
   request.path = "/-/config/read";
   auto result = co_await runtime::http_fetch(runtime, control(core), request, second);
   auto* response = std::get_if<runtime::http_response>(&result);
-  if (response && response->status == 200) judge_.read_during(core, asked, response->body);
+  if (response && response->status == 200) rule_oracle_.configuration_read(core, asked, response->body);
 }
 
-task<> site::read_forever(microseconds until) {
-  auto runtime = where_.runtime_of("operator");
-  while (where_.now() < until) {
-    auto cores = of_role("core");
-    runtime.spawn(read_at(cores[where_.draw(cores.size())]));
-    co_await runtime.sleep(static_cast<microseconds>(where_.draw(400)) * millisecond);
+task<> site::read_configurations_until(microseconds until) {
+  auto runtime = world_.runtime_of("operator");
+  while (world_.now() < until) {
+    auto cores = machines_of_role("core");
+    runtime.spawn(read_from(cores[world_.draw(cores.size())]));
+    co_await runtime.sleep(static_cast<microseconds>(world_.draw(400)) * millisecond);
   }
 }
 
-void site::read_until(microseconds until) { where_.runtime_of("operator").spawn(read_forever(until)); }
+void site::start_reads(microseconds until) {
+  world_.runtime_of("operator").spawn(read_configurations_until(until));
+}
 
 task<int> site::change(version next, bool partial) {
   auto base = std::to_string(next.base);
@@ -123,51 +125,51 @@
   if (partial) {
     auto whole = json::parse(body);
     json removed = json::array();
-    // What the version beneath has beyond this one. Named: a part of a temporary wouldn't outlive the loop's
-    // head.
-    auto beneath = json::parse(bodies_.at(next.base));
-    for (auto& each : beneath["routing"])
+    // Removes the routes of the base version that this one doesn't have. The document needs a name: a loop
+    // over a part of a temporary would use it after its end.
+    auto base_document = json::parse(sent_bodies_.at(next.base));
+    for (auto& each : base_document["routing"])
       if (!next.routes.count(each["path_prefix"])) removed.push_back(each["label"]);
     body = json{{"generation", generation},
                 {"upsert", {{"routing", whole["routing"]}}},
                 {"remove", {{"routing", removed}}}}
                .dump();
   }
-  bodies_[generation] = next.body;
-  judge_.change_sent(next);
+  sent_bodies_[generation] = next.body;
+  rule_oracle_.change_sent(next);
   auto status = co_await call("POST", partial ? "/-/config/amend" : "/-/config/replace", body, base, nullptr,
                               20 * second);
-  judge_.change_ended(generation, status);
-  tell("version " + std::to_string(generation) + " on " + base + ": " + std::to_string(status));
-  if (status == 200) current = std::max(current, generation);
+  rule_oracle_.change_ended(generation, status);
+  log_event("version " + std::to_string(generation) + " on " + base + ": " + std::to_string(status));
+  if (status == 200) acknowledged_version = std::max(acknowledged_version, generation);
   co_return status;
 }
 
-task<bool> site::change_zone(std::string zone, bool begin) {
-  if (!begin) judge_.zone_finishing(zone);
+task<bool> site::change_evacuation(std::string zone, bool begin) {
+  if (!begin) rule_oracle_.evacuation_ending(zone);
   auto status = co_await call("POST", "/-/evacuation/" + zone + (begin ? "/begin" : "/finish"), "", "",
                               nullptr, 4 * second);
-  if (begin && status / 100 == 2) judge_.zone_begun(zone);
-  tell((begin ? "evacuation of " : "end of the evacuation of ") + zone + ": " + std::to_string(status));
+  if (begin && status / 100 == 2) rule_oracle_.evacuation_begun(zone);
+  log_event((begin ? "evacuation of " : "end of the evacuation of ") + zone + ": " + std::to_string(status));
   co_return status / 100 == 2;
 }
 
 task<> site::retire(std::string store) {
-  auto runtime = where_.runtime_of("operator");
+  auto runtime = world_.runtime_of("operator");
   auto status =
       co_await call("POST", "/-/retire/" + store + "/begin", "{\"over_s\":10}", "", nullptr, 4 * second);
-  tell("retirement of " + store + ": " + std::to_string(status));
+  log_event("retirement of " + store + ": " + std::to_string(status));
   if (status / 100 != 2) co_return;
   for (int turn = 0; turn < 60; ++turn) {
     co_await runtime.sleep(500 * millisecond);
     std::string body;
     status = co_await call("GET", "/-/retire/" + store + "/read", "", "", &body, 2 * second);
     if (status != 200 || json::parse(body).value("phase", "") != "complete") continue;
-    take_away(store);
-    tell(store + " is taken away");
+    remove_machine(store);
+    log_event(store + " is removed");
     co_return;
   }
-  tell(store + " is not emptied");
+  log_event(store + " is not emptied");
 }
 
 }  // namespace herontally::platform_simulator
