--- a/src/simulator/world_http.h
+++ b/src/simulator/world_http.h
@@ -1,4 +1,5 @@
-// Internal to simulator: one HTTP exchange between two machines of the world.
+// Internal to simulator: the state of one HTTP exchange between two machines, shared by its client side
+// (world_http.cc) and its server side (world_http_writer.cc).
 #pragma once
 #include "simulator/world_state.h"
 
@@ -11,20 +12,21 @@
   std::function<void(rt::http_event)> notify;
   std::function<void()> on_gone;
   std::string address, echo_name, echo_value;
-  bool pooled = false, passed_over = false;  // the answer is another request's
-  bool last = false;                         // the server wants no further request on this connection
-  bool client_closed = false, server_knows = false, ended = false, head_sent = false, replied = false,
+  bool pooled = false, echo_mismatch = false;  // echo_mismatch: the response belongs to another request
+  bool closes_connection = false;              // the server accepts no further request on this connection
+  // `server_notified`: the server has seen that the client closed. `replied`: the server's part is complete.
+  bool client_closed = false, server_notified = false, ended = false, head_sent = false, replied = false,
        arrived = false;
-  std::size_t unread_bytes = 0;   // what a stalled client leaves lying
-  microseconds last_arrival = 0;  // pieces arrive in the order they were sent in
+  std::size_t unread_bytes = 0;   // sent to a stalled client and not read by it
+  microseconds last_arrival = 0;  // of an event at the client; later ones arrive after it
 };
 
-// The client's end has come through to the server.
-void tell_gone(const std::shared_ptr<http_exchange>& exchange);
-// One event on its way to the client.
-void to_client(const std::shared_ptr<world::state>& world, const std::shared_ptr<http_exchange>& exchange,
-               rt::http_event event, std::size_t bytes);
-// The server's side of the exchange.
+// Tells the server that the client has closed the connection.
+void notify_client_gone(const std::shared_ptr<http_exchange>& exchange);
+// Sends one event of the response to the client; `bytes` is its size on the wire.
+void send_to_client(const std::shared_ptr<world::state>& world,
+                    const std::shared_ptr<http_exchange>& exchange, rt::http_event event, std::size_t bytes);
+// Makes the writer with which the server's handler answers the exchange.
 std::shared_ptr<rt::http_writer> make_writer(std::weak_ptr<world::state> weak,
                                              std::shared_ptr<http_exchange> exchange);
 
