--- a/src/simulator/faults.cc
+++ b/src/simulator/faults.cc
@@ -1,22 +1,24 @@
+// The kinds of faults by name, and how all of them end.
 #include "simulator/faults.h"
 
 #include "simulator/faults_state.h"
 
 namespace simulator {
 
-// Everything of ours goes at once, some of it by power; all begins again, in any order.
-void faults::state::total_loss() {
-  tell("total loss");
-  for (auto& name : ours()) {
-    w().kill(name, w().draw(2) ? disk_loss::none : disk_loss::unsynced, true);
-    boot_later(name, span(0, 0.8));
+// Every node except the engines and the platform is killed at once, some by a power failure; they boot again
+// in random order.
+void fault_injector::state::kill_all_nodes() {
+  log_fault("kill all nodes");
+  for (auto& name : site_nodes()) {
+    sim().kill(name, sim().draw(2) ? disk_loss::none : disk_loss::unsynced, true);
+    boot_later(name, random_duration(0, 0.8));
   }
 }
 
-faults::faults(site& target, oracle& judge, std::vector<std::string>& story)
-    : state_(std::make_shared<state>(target, judge, story)) {}
-faults::~faults() = default;
-const std::set<std::string>& faults::gone() const { return state_->gone; }
+fault_injector::fault_injector(site& target, oracle& checker, std::vector<std::string>& fault_log)
+    : state_(std::make_shared<state>(target, checker, fault_log)) {}
+fault_injector::~fault_injector() = default;
+const std::set<std::string>& fault_injector::removed() const { return state_->removed; }
 
 const std::vector<std::string>& fault_kinds() {
   static const std::vector<std::string> kinds{
@@ -26,11 +28,11 @@
   return kinds;
 }
 
-void faults::begin(const std::string& kind) {
+void fault_injector::begin(const std::string& kind) {
   auto& self = *state_;
-  if (kind == "kill") self.kill_one();
-  if (kind == "freeze") self.freeze_one();
-  if (kind == "cut") self.cut_some();
+  if (kind == "kill") self.kill_node();
+  if (kind == "freeze") self.freeze_node();
+  if (kind == "cut") self.cut_node();
   if (kind == "split") self.split_core();
   if (kind == "zone") self.lose_zone();
   if (kind == "store") self.replace("storage_node", self.stores_replaced);
@@ -40,45 +42,45 @@
   if (kind == "race") self.race_operators();
   if (kind == "configure") self.configure();
   if (kind == "evacuate") self.evacuate();
-  if (kind == "stale") self.make_stale();
-  if (kind == "doze") self.doze();
-  if (kind == "engine") self.upset_engine();
-  if (kind == "disk") self.upset_disk();
-  if (kind == "total") self.total_loss();
+  if (kind == "stale") self.cut_off_agent();
+  if (kind == "doze") self.freeze_until_takeover();
+  if (kind == "engine") self.degrade_engine();
+  if (kind == "disk") self.degrade_disk();
+  if (kind == "total") self.kill_all_nodes();
   if (kind == "retire") self.retire_storage();
   if (kind == "add") self.add_machine();
-  if (kind == "platform") self.upset_platform();
-  if (kind == "warn") self.warn_one();
-  if (kind == "rollall") self.roll_all();
+  if (kind == "platform") self.degrade_platform();
+  if (kind == "warn") self.warn_node();
+  if (kind == "rollall") self.roll_all_engines();
   if (kind == "corrupt") self.corrupt_disk();
-  if (kind == "twice") self.send_twice();
+  if (kind == "twice") self.duplicate_messages();
   if (kind == "upgrade") self.upgrade();
   if (kind == "pair") self.replace_and_lose_zone();
-  if (kind == "lender") self.fail_lender();
+  if (kind == "lender") self.fail_during_pull();
   if (kind == "reply") self.lose_power_after_reply();
-  if (kind == "await") self.freeze_at_await();
+  if (kind == "await") self.freeze_proxy_after_message();
 }
 
-void faults::reply_received() {
+void fault_injector::reply_received() {
   if (!state_->on_next_reply) return;
   auto action = std::exchange(state_->on_next_reply, nullptr);
   action();
 }
 
-void faults::end_all() {
+void fault_injector::end_all() {
   auto& self = *state_;
-  self.tell("peace");
-  self.w().heal_all();
-  self.w().net().twice = 0;
+  self.log_fault("all faults end");
+  self.sim().heal_all();
+  self.sim().net().twice = 0;
   self.on_next_reply = nullptr;
   self.target.upset_platform(false, 400);
-  for (auto& name : self.w().names()) {
-    auto& machine = self.w().find(name);
+  for (auto& name : self.sim().names()) {
+    auto& machine = self.sim().find(name);
     machine.sends_until_freeze = 0;
-    self.w().wake(name);
+    self.sim().wake(name);
     machine.disk.full = machine.disk.failing = false;
     machine.disk.sync_time = 300;
-    if (!self.gone.contains(name) && !self.target.role_of(name).empty()) self.target.boot(name);
+    if (!self.removed.contains(name) && !self.target.role_of(name).empty()) self.target.boot(name);
   }
   for (auto& name : self.target.of_role("engine")) self.target.misbehave(name, "well");
 }
--- a/src/simulator/faults_aimed.cc
+++ b/src/simulator/faults_aimed.cc
@@ -1,209 +1,223 @@
-// Faults that meet each other or a certain moment, and those of machines that come and go.
+// Faults that are combined with others or wait for a certain moment, and those of machines that join, leave
+// or are upgraded.
 #include "rpc/protocol_version.h"
 #include "simulator/faults_state.h"
 
 namespace simulator {
 
-// A spare is added, a machine retired, and then either all goes well, or the spare is lost on the way, or
-// another change races.
-void faults::state::retire_storage() {
+// Adds a spare storage node and retires another one; in two of three cases the spare is killed or
+// configuration changes are applied meanwhile.
+void fault_injector::state::retire_storage() {
   if (stores_replaced >= 1) return;
   auto names = target.of_role("storage_node");
   for (auto& name : names)
-    if (!w().find(name).up || w().find(name).frozen) return;
+    if (!sim().find(name).up || sim().find(name).frozen) return;
   ++stores_replaced;
-  auto leaving = pick(names);
+  auto leaving = random_of(names);
   std::string spare = "store-spare";
-  target.add("storage_node", spare, w().find(leaving).zone);
-  auto how = w().draw(3);
-  tell("retire " + leaving + (how == 1 ? ", its spare dies meanwhile" : how == 2 ? ", operators race" : ""));
+  target.add("storage_node", spare, sim().find(leaving).zone);
+  auto how = sim().draw(3);
+  log_fault("retire " + leaving +
+            (how == 1   ? ", its spare is killed meanwhile"
+             : how == 2 ? ", operators apply configurations meanwhile"
+                        : ""));
   target.callers().spawn([](std::shared_ptr<state> self, std::string name) -> rt::task<> {
     bool may_go = co_await self->target.retire(name);
     if (!may_go) co_return;
-    // Notified that it may go, the operators switch it off for good.
-    self->tell(name + " is retired and switched off");
-    self->gone.insert(name);
+    // The operators learn that the retirement is complete and switch the machine off for good.
+    self->log_fault(name + " is retired and switched off");
+    self->removed.insert(name);
     self->target.take_away(name);
-    self->w().at(self->w().now(), [self, name] { self->w().kill(name, disk_loss::all, true); });
+    self->sim().at(self->sim().now(), [self, name] { self->sim().kill(name, disk_loss::all, true); });
   }(shared_from_this(), leaving));
   if (how == 1)
-    later(span(0.05, 1.5), [self = shared_from_this(), spare] {
-      self->w().kill(spare, disk_loss::unsynced, true);
-      self->boot_later(spare, self->span(1, 5));
+    run_after(random_duration(0.05, 1.5), [self = shared_from_this(), spare] {
+      self->sim().kill(spare, disk_loss::unsynced, true);
+      self->boot_later(spare, self->random_duration(1, 5));
     });
-  if (how == 2) later(span(0, 0.5), [self = shared_from_this()] { self->race_operators(); });
+  if (how == 2) run_after(random_duration(0, 0.5), [self = shared_from_this()] { self->race_operators(); });
 }
 
-void faults::state::add_machine() {
-  std::string role = pick({"proxy", "control_node", "storage_node"});
+void fault_injector::state::add_machine() {
+  std::string role = random_of({"proxy", "control_node", "storage_node"});
   std::string name = (role == "proxy"          ? "edge-x"
                       : role == "control_node" ? "core-x"
                                                : "store-x") +
                      std::to_string(++spares);
-  tell("add " + name);
-  target.add(role, name, pick({"zone-a", "zone-b", "zone-c"}));
+  log_fault("add " + name);
+  target.add(role, name, random_of({"zone-a", "zone-b", "zone-c"}));
 }
 
-void faults::state::upset_platform() {
-  auto how = w().draw(3);
-  tell(how == 0 ? "platform silent" : how == 1 ? "platform very late" : "platform flaps");
+void fault_injector::state::degrade_platform() {
+  auto how = sim().draw(3);
+  log_fault(how == 0   ? "platform does not answer"
+            : how == 1 ? "platform reports changes 2.5 s late"
+                       : "platform stops and resumes answering");
   if (how == 0) target.upset_platform(true, 400);
   if (how == 1) target.upset_platform(false, 2500);
   if (how == 2) {
-    // It comes and goes, some of the times while an engine is leaving.
+    // It stops and resumes answering every 0.7 s, in part while an engine is leaving.
     for (int each = 0; each < 6; ++each)
-      later(microseconds{each} * 700 * rt::millisecond,
-            [self = shared_from_this(), each] { self->target.upset_platform(each % 2 == 0, 400); });
+      run_after(microseconds{each} * 700 * rt::millisecond,
+                [self = shared_from_this(), each] { self->target.upset_platform(each % 2 == 0, 400); });
     roll_engine();
   }
-  later(span(5, 8), [self = shared_from_this()] { self->target.upset_platform(false, 400); });
+  run_after(random_duration(5, 8), [self = shared_from_this()] { self->target.upset_platform(false, 400); });
 }
 
-void faults::state::warn_one() {
-  auto name = pick(ours());
-  if (!w().find(name).up || w().find(name).frozen) return;
-  tell("warn " + name);
+void fault_injector::state::warn_node() {
+  auto name = random_of(site_nodes());
+  if (!sim().find(name).up || sim().find(name).frozen) return;
+  log_fault("termination notice to " + name);
   target.warn(name);
-  boot_later(name, span(3.1, 6));
+  boot_later(name, random_duration(3.1, 6));
 }
 
-void faults::state::roll_all() {
-  tell("roll all engines, one after another");
+void fault_injector::state::roll_all_engines() {
+  log_fault("roll all engines, one after another");
   microseconds wait = 0;
   for (auto& name : target.of_role("engine")) {
-    if (gone.contains(name)) continue;
-    gone.insert(name);
-    later(wait, [self = shared_from_this(), name] {
+    if (removed.contains(name)) continue;
+    removed.insert(name);
+    run_after(wait, [self = shared_from_this(), name] {
       if (self->target.role_of(name).empty()) return;
-      self->target.roll_engine(
-          name, self->w().find(name).up && name.rfind("model", 0) == 0 ? self->target.options().weights : "");
+      self->target.roll_engine(name, self->sim().find(name).up && name.rfind("model", 0) == 0
+                                         ? self->target.options().weights
+                                         : "");
     });
-    wait += span(0.8, 1.6);
+    wait += random_duration(0.8, 1.6);
   }
 }
 
-// A machine with a disk is swapped for an empty one, and while that is filled a whole zone loses its power.
-void faults::state::replace_and_lose_zone() {
-  if (w().draw(2))
+// Replaces a machine with a disk; while the empty one catches up, a whole zone loses its power.
+void fault_injector::state::replace_and_lose_zone() {
+  if (sim().draw(2))
     replace("storage_node", stores_replaced);
   else
     replace("control_node", cores_replaced);
-  later(span(0.3, 9), [self = shared_from_this()] { self->lose_zone(); });
+  run_after(random_duration(0.3, 9), [self = shared_from_this()] { self->lose_zone(); });
 }
 
-// Process after process is warned, stopped and started under a neighbouring version, and later back again.
-void faults::state::upgrade() {
-  // The site as a whole never spans more than two neighbouring versions.
-  if (versions_apart) return;
-  versions_apart = true;
-  bool older = w().draw(2);
-  tell(older ? "from the version before to this one, and back" : "to the version after this one, and back");
+// Restarts one node after another, on termination notice, with the previous or next RPC protocol version,
+// then all of them with the current one.
+void fault_injector::state::upgrade() {
+  // Once per run: a site never runs more than two adjacent versions at a time.
+  if (upgrade_started) return;
+  upgrade_started = true;
+  bool older = sim().draw(2);
+  log_fault(older ? "all nodes to the previous RPC version and back"
+                  : "all nodes to the next RPC version and back");
   microseconds wait = 0;
   for (int way = 0; way < 2; ++way) {
-    auto names = ours();
-    std::shuffle(names.begin(), names.end(), w().random());
+    auto names = site_nodes();
+    std::shuffle(names.begin(), names.end(), sim().random());
     for (auto& name : names) {
       int version = way == 1 ? 0 : herontally::rpc::protocol_version + (older ? -1 : 1);
-      later(wait, [self = shared_from_this(), name, version] {
-        if (self->gone.contains(name) || !self->w().find(name).up || self->w().find(name).frozen) return;
+      run_after(wait, [self = shared_from_this(), name, version] {
+        if (self->removed.contains(name) || !self->sim().find(name).up || self->sim().find(name).frozen)
+          return;
         self->target.speak(name, version);
         self->target.warn(name);
         self->boot_later(name, 3200 * rt::millisecond);
       });
-      wait += span(0.5, 1.2);
+      wait += random_duration(0.5, 1.2);
     }
   }
 }
 
-// Bytes that had been synced change on the disk of a machine that is down.
-void faults::state::corrupt_disk() {
-  bool store = w().draw(2);
+// Kills a machine with a disk and flips bits in one synced byte of some of its files.
+void fault_injector::state::corrupt_disk() {
+  bool store = sim().draw(2);
   auto& count = store ? stores_replaced : cores_replaced;
   auto names = target.of_role(store ? "storage_node" : "control_node");
   for (auto& name : names)
-    if (!w().find(name).up || w().find(name).frozen || count >= 1) return;
+    if (!sim().find(name).up || sim().find(name).frozen || count >= 1) return;
   ++count;
-  auto name = pick(names);
-  tell("disk of " + name + " corrupted");
-  w().kill(name, disk_loss::none);
-  auto& files = w().find(name).disk.files;
+  auto name = random_of(names);
+  log_fault("disk of " + name + " corrupted");
+  sim().kill(name, disk_loss::none);
+  auto& files = sim().find(name).disk.files;
   for (auto& [file, content] : files) {
-    if (content.current.size() < 40 || w().draw(2)) continue;
-    content.current[w().draw(content.current.size() - 20)] ^= 0x55;
+    if (content.current.size() < 40 || sim().draw(2)) continue;
+    content.current[sim().draw(content.current.size() - 20)] ^= 0x55;
     content.synced = content.current;
   }
-  boot_later(name, span(0.2, 3));
+  boot_later(name, random_duration(0.2, 3));
 }
 
-void faults::state::send_twice() {
-  tell("messages arrive twice, and late");
-  w().net().twice = 0.05;
-  later(span(2, 6), [self = shared_from_this()] { self->w().net().twice = 0; });
+void fault_injector::state::duplicate_messages() {
+  log_fault("some messages between nodes arrive again, up to 2 s later");
+  sim().net().twice = 0.05;
+  run_after(random_duration(2, 6), [self = shared_from_this()] { self->sim().net().twice = 0; });
 }
 
-// At each stage of a pull: when it arrives at the lender, when it begins at the borrower, some time later.
-void faults::state::fail_lender() {
-  auto stage = pick({"arrive-pull", "borrow"});
-  auto how = w().draw(4);
-  auto wait = span(0, 0.02);
-  tell("strike at " + stage +
-       (how == 0   ? ": power"
-        : how == 1 ? ": freeze"
-        : how == 2 ? ": kill"
-                   : ": roll"));
+// Fails the engine that next reaches a stage of a KV cache pull, up to 20 ms later: the lender when the pull
+// arrives, or the borrower when it begins one.
+void fault_injector::state::fail_during_pull() {
+  auto stage = random_of({"arrive-pull", "borrow"});
+  auto how = sim().draw(4);
+  auto wait = random_duration(0, 0.02);
+  log_fault("at the next " + stage +
+            (how == 0   ? ": power failure"
+             : how == 1 ? ": freeze"
+             : how == 2 ? ": kill"
+                        : ": roll"));
   target.trap(stage, [self = shared_from_this(), how, wait](const std::string& engine) {
-    self->later(wait, [self, how, engine] {
-      if (self->gone.contains(engine) || self->target.role_of(engine).empty()) return;
-      if (how == 0) self->w().kill(engine, disk_loss::all, true);
-      if (how == 1) self->w().freeze(engine);
-      if (how == 2) self->w().kill(engine, disk_loss::none);
+    self->run_after(wait, [self, how, engine] {
+      if (self->removed.contains(engine) || self->target.role_of(engine).empty()) return;
+      if (how == 0) self->sim().kill(engine, disk_loss::all, true);
+      if (how == 1) self->sim().freeze(engine);
+      if (how == 2) self->sim().kill(engine, disk_loss::none);
       if (how == 3) {
-        self->gone.insert(engine);
+        self->removed.insert(engine);
         self->target.roll_engine(engine, engine.rfind("model", 0) == 0 ? self->target.options().weights : "");
         return;
       }
-      self->later(self->span(0.5, 6), [self, engine] { self->w().wake(engine); });
-      if (how != 1) self->boot_later(engine, self->span(0.5, 5));
+      self->run_after(self->random_duration(0.5, 6), [self, engine] { self->sim().wake(engine); });
+      if (how != 1) self->boot_later(engine, self->random_duration(0.5, 5));
     });
   });
 }
 
-// Power goes the moment something was acknowledged: at one machine with a disk, or at all of them.
-void faults::state::lose_power_after_reply() {
-  bool all = w().draw(2);
-  tell(std::string("power goes at the next reply, at ") + (all ? "all disks" : "one disk"));
+// Power fails right after the next acknowledgement, at one machine with a disk or at all of them.
+void fault_injector::state::lose_power_after_reply() {
+  bool all = sim().draw(2);
+  log_fault(std::string("power failure at the next acknowledgement, of ") +
+            (all ? "all machines with disks" : "one machine with a disk"));
   on_next_reply = [self = shared_from_this(), all] {
     std::vector<std::string> names;
     for (auto* role : {"control_node", "storage_node"})
       for (auto& name : self->target.of_role(role))
-        if (!self->gone.contains(name)) names.push_back(name);
-    if (!all) names = {self->pick(names)};
+        if (!self->removed.contains(name)) names.push_back(name);
+    if (!all) names = {self->random_of(names)};
     for (auto& name : names) {
-      self->w().kill(name, disk_loss::unsynced, true);
-      self->boot_later(name, self->span(0.1, 1));
+      self->sim().kill(name, disk_loss::unsynced, true);
+      self->boot_later(name, self->random_duration(0.1, 1));
     }
   };
 }
 
-// A proxy freezes right after one of its next messages, whatever it waits for then, while something changes
-// that it should have heard of.
-void faults::state::freeze_at_await() {
-  auto name = pick(target.of_role("proxy"));
-  if (!w().find(name).up || w().find(name).frozen) return;
-  w().find(name).sends_until_freeze = 1 + static_cast<int>(w().draw(40));
-  auto change = w().draw(4);
-  tell("freeze " + name + " at an await");
-  later(span(0, 0.3), [self = shared_from_this(), change] {
+// Freezes a proxy right after one of its next 40 messages to storage nodes, whatever it awaits then, while
+// engines, zones, the configuration or weights change without its notice.
+void fault_injector::state::freeze_proxy_after_message() {
+  auto name = random_of(target.of_role("proxy"));
+  if (!sim().find(name).up || sim().find(name).frozen) return;
+  sim().find(name).sends_until_freeze = 1 + static_cast<int>(sim().draw(40));
+  auto change = sim().draw(4);
+  log_fault("freeze " + name + " after one of its next messages to storage nodes");
+  run_after(random_duration(0, 0.3), [self = shared_from_this(), change] {
     if (change == 0) self->roll_engine();
     if (change == 1) self->evacuate();
     if (change == 2) self->configure();
     if (change == 3) self->change_weights();
   });
-  // Long enough to be given up by others, and at times short enough for its own deadlines to still hold.
-  later(w().draw(2) ? span(4, 9) : span(1.2, 3), [self = shared_from_this(), name] {
-    self->w().find(name).sends_until_freeze = 0;
-    self->w().wake(name);
-  });
+  // Either long enough for others to regard it as failed, or short enough for its own deadlines to still
+  // hold.
+  run_after(sim().draw(2) ? random_duration(4, 9) : random_duration(1.2, 3),
+            [self = shared_from_this(), name] {
+              self->sim().find(name).sends_until_freeze = 0;
+              self->sim().wake(name);
+            });
 }
 
 }  // namespace simulator
--- a/src/simulator/faults_site.cc
+++ b/src/simulator/faults_site.cc
@@ -1,129 +1,134 @@
-// Faults that replace, roll, reconfigure and upset parts of a site.
+// Faults that replace, roll, reconfigure or degrade single parts of a site.
 #include "simulator/faults_state.h"
 
 namespace simulator {
 
-void faults::state::replace(const std::string& role, int& count) {
-  // One machine with a disk at a time, and all others whole: more is beyond what must be survived.
+void fault_injector::state::replace(const std::string& role, int& count) {
+  // At most one machine of this role in a run, and only while all its others are up: the system is not
+  // required to survive more.
   if (count >= 1) return;
   auto names = target.of_role(role);
   for (auto& name : names)
-    if (!w().find(name).up || w().find(name).frozen) return;
+    if (!sim().find(name).up || sim().find(name).frozen) return;
   ++count;
-  auto name = pick(names);
-  auto zone = w().find(name).zone;
-  w().kill(name, disk_loss::all, true);
-  if (w().draw(2)) {
-    tell("disk of " + name + " lost; it comes back empty");
-    boot_later(name, span(0.2, 3));
+  auto name = random_of(names);
+  auto zone = sim().find(name).zone;
+  sim().kill(name, disk_loss::all, true);
+  if (sim().draw(2)) {
+    log_fault("disk of " + name + " lost; it boots empty");
+    boot_later(name, random_duration(0.2, 3));
     return;
   }
-  std::string fresh = role == "control_node" ? "core-new" : "store-new";
-  tell(name + " replaced by empty " + fresh);
-  gone.insert(name);
+  std::string replacement = role == "control_node" ? "core-new" : "store-new";
+  log_fault(name + " replaced by empty " + replacement);
+  removed.insert(name);
   target.take_away(name);
-  later(span(0.2, 4),
-        [self = shared_from_this(), role, fresh, zone] { self->target.add(role, fresh, zone); });
+  run_after(random_duration(0.2, 4), [self = shared_from_this(), role, replacement, zone] {
+    self->target.add(role, replacement, zone);
+  });
 }
 
-void faults::state::roll_engine() {
+void fault_injector::state::roll_engine() {
   auto names = target.of_role("engine");
-  std::erase_if(names, [this](auto& name) { return !w().find(name).up || gone.contains(name); });
-  auto name = pick(names);
+  std::erase_if(names, [this](auto& name) { return !sim().find(name).up || removed.contains(name); });
+  auto name = random_of(names);
   if (name.empty()) return;
-  tell("roll " + name);
-  gone.insert(name);
+  log_fault("roll " + name);
+  removed.insert(name);
   target.roll_engine(name, name.rfind("model", 0) == 0 ? target.options().weights : "");
 }
 
-// New weights come with new engines, one after another, and with a state that names them.
-void faults::state::change_weights() {
+// Applies a configuration with other model weights and replaces the model engines one after another by new
+// ones that serve them.
+void fault_injector::state::change_weights() {
   auto& weights = target.options().weights;
   weights = weights == "v1" ? "v2" : "v1";
-  tell("weights become " + weights);
+  log_fault("weights become " + weights);
   target.callers().spawn(target.apply_until_done());
   microseconds wait = 0;
   for (auto& name : target.of_role("engine")) {
-    if (name.rfind("model", 0) != 0 || gone.contains(name)) continue;
-    gone.insert(name);
-    later(wait, [self = shared_from_this(), name, weights] { self->target.roll_engine(name, weights); });
+    if (name.rfind("model", 0) != 0 || removed.contains(name)) continue;
+    removed.insert(name);
+    run_after(wait, [self = shared_from_this(), name, weights] { self->target.roll_engine(name, weights); });
     wait += 300 * rt::millisecond;
   }
 }
 
-rt::task<> faults::state::apply(std::string core) { co_await target.apply_next(std::move(core)); }
+rt::task<> fault_injector::state::apply(std::string core) { co_await target.apply_next(std::move(core)); }
 
-void faults::state::race_operators() {
-  tell("operators race");
+void fault_injector::state::race_operators() {
+  log_fault("operators apply configurations concurrently");
   for (auto& core : target.of_role("control_node"))
     for (int each = 0; each < 2; ++each) target.callers().spawn(apply(core));
 }
 
-void faults::state::configure() {
-  tell("configure");
-  target.callers().spawn(apply(pick(target.of_role("control_node"))));
+void fault_injector::state::configure() {
+  log_fault("apply the next configuration");
+  target.callers().spawn(apply(random_of(target.of_role("control_node"))));
 }
 
-void faults::state::evacuate() {
-  auto zone = pick({"zone-a", "zone-b", "zone-c"});
-  // Once per run and zone: two overlapping evacuations would leave open which of them counts.
+void fault_injector::state::evacuate() {
+  auto zone = random_of({"zone-a", "zone-b", "zone-c"});
+  // Once per run and zone: with two overlapping evacuations the oracle could not tell which one is in effect.
   if (!evacuated.insert(zone).second) return;
-  tell("evacuate " + zone);
+  log_fault("evacuate " + zone);
   target.callers().spawn(target.change_zone(zone, true));
-  later(span(6, 12), [self = shared_from_this(), zone] {
+  run_after(random_duration(6, 12), [self = shared_from_this(), zone] {
     self->target.callers().spawn(self->target.change_zone(zone, false));
   });
 }
 
-void faults::state::upset_engine() {
-  auto name = pick(target.of_role("engine"));
-  auto how = pick({"lose-answers", "lender-pause", "lender-cut", "lender-garble"});
-  tell(name + " " + how);
+void fault_injector::state::degrade_engine() {
+  auto name = random_of(target.of_role("engine"));
+  auto how = random_of({"lose-answers", "lender-pause", "lender-cut", "lender-garble"});
+  log_fault(name + " " + how);
   target.misbehave(name, how);
-  later(span(2, 8), [self = shared_from_this(), name] { self->target.misbehave(name, "well"); });
+  run_after(random_duration(2, 8),
+            [self = shared_from_this(), name] { self->target.misbehave(name, "well"); });
 }
 
-// One edge machine hears nothing any more, while the state is changed and clients still reach its proxy.
-void faults::state::make_stale() {
-  auto agent = pick(target.of_role("agent"));
-  tell("configuration updates cut off from " + agent);
-  auto others = ours();
+// Cuts one agent off from all nodes except the proxies while the configuration changes; clients still reach
+// its proxy.
+void fault_injector::state::cut_off_agent() {
+  auto agent = random_of(target.of_role("agent"));
+  log_fault("configuration updates cut off from " + agent);
+  auto others = site_nodes();
   std::erase_if(others, [&](auto& name) { return target.role_of(name) == "proxy" || name == agent; });
   for (auto& other : others) {
-    w().cut(agent, other);
-    w().cut(other, agent);
+    sim().cut(agent, other);
+    sim().cut(other, agent);
   }
-  later(500 * rt::millisecond, [self = shared_from_this()] {
-    self->target.callers().spawn(self->apply(self->pick(self->target.of_role("control_node"))));
+  run_after(500 * rt::millisecond, [self = shared_from_this()] {
+    self->target.callers().spawn(self->apply(self->random_of(self->target.of_role("control_node"))));
   });
-  later(span(6, 9), [self = shared_from_this(), agent, others] {
+  run_after(random_duration(6, 9), [self = shared_from_this(), agent, others] {
     for (auto& other : others) {
-      self->w().heal(agent, other);
-      self->w().heal(other, agent);
+      self->sim().heal(agent, other);
+      self->sim().heal(other, agent);
     }
   });
 }
 
-// A proxy sleeps long enough for its programs to go on elsewhere, and then wakes.
-void faults::state::doze() {
-  auto name = pick(target.of_role("proxy"));
-  if (!w().find(name).up || w().find(name).frozen) return;
-  tell("doze " + name);
-  w().freeze(name);
-  later(span(4, 9), [self = shared_from_this(), name] { self->w().wake(name); });
+// Freezes a proxy long enough (4 to 9 s) for other proxies to take over its programs, then wakes it.
+void fault_injector::state::freeze_until_takeover() {
+  auto name = random_of(target.of_role("proxy"));
+  if (!sim().find(name).up || sim().find(name).frozen) return;
+  log_fault("freeze " + name + " until other proxies take over");
+  sim().freeze(name);
+  run_after(random_duration(4, 9), [self = shared_from_this(), name] { self->sim().wake(name); });
 }
 
-void faults::state::upset_disk() {
-  auto name = pick(target.of_role(w().draw(3) ? "storage_node" : "control_node"));
-  if (gone.contains(name)) return;
-  auto how = w().draw(3);
-  tell("disk of " + name + (how == 0 ? " slow" : how == 1 ? " full" : " failing"));
-  auto& disk = w().find(name).disk;
+void fault_injector::state::degrade_disk() {
+  auto name = random_of(target.of_role(sim().draw(3) ? "storage_node" : "control_node"));
+  if (removed.contains(name)) return;
+  auto how = sim().draw(3);
+  log_fault("disk of " + name + (how == 0 ? " slow" : how == 1 ? " full" : " failing"));
+  auto& disk = sim().find(name).disk;
   if (how == 0) disk.sync_time = 150 * rt::millisecond;
   if (how == 1) disk.full = true;
   if (how == 2) disk.failing = true;
-  later(span(1, 6), [self = shared_from_this(), name] {
-    auto& healed = self->w().find(name).disk;
+  run_after(random_duration(1, 6), [self = shared_from_this(), name] {
+    auto& healed = self->sim().find(name).disk;
     healed.sync_time = 300;
     healed.full = healed.failing = false;
   });
--- a/src/simulator/faults_state.h
+++ b/src/simulator/faults_state.h
@@ -1,4 +1,6 @@
-// Internal to simulator's faults.
+// Internal to simulator's faults: the state that they share, their helpers, and the simple faults. Those of
+// single parts of a site are in faults_site.cc; combined ones and those with a chosen moment in
+// faults_aimed.cc.
 #pragma once
 #include "simulator/faults.h"
 
@@ -6,124 +8,135 @@
 
 namespace rt = herontally::runtime;
 
-struct faults::state : std::enable_shared_from_this<faults::state> {
+struct fault_injector::state : std::enable_shared_from_this<fault_injector::state> {
   site& target;
-  oracle& judge;
-  std::vector<std::string>& story;
+  oracle& checker;
+  std::vector<std::string>& fault_log;
   std::set<std::string> evacuated;
-  std::set<std::string> gone;  // machines that were replaced and never come back
-  bool versions_apart = false;
+  std::set<std::string> removed;  // machines that were replaced or retired and never come back
+  bool upgrade_started = false;
+  // Losses of a disk or machine by role, at most one in a run; and the number of machines that were added.
   int stores_replaced = 0, cores_replaced = 0, spares = 0;
-  // What to do when a client or an operator next gets its reply.
+  // Fault to inject when a client next receives an acknowledgement.
   std::function<void()> on_next_reply;
   state(site& where, oracle& oracle_of, std::vector<std::string>& lines)
-      : target(where), judge(oracle_of), story(lines) {}
+      : target(where), checker(oracle_of), fault_log(lines) {}
 
-  world& w() { return target.where(); }
-  void tell(const std::string& line) { story.push_back(std::to_string(w().now() / 1000) + " ms: " + line); }
-  microseconds span(double least, double most) {
-    auto from = static_cast<microseconds>(least * rt::second),
-         to = static_cast<microseconds>(most * rt::second);
-    return from + static_cast<microseconds>(w().draw(static_cast<std::uint64_t>(to - from + 1)));
+  world& sim() { return target.where(); }
+  void log_fault(const std::string& line) {
+    fault_log.push_back(std::to_string(sim().now() / 1000) + " ms: " + line);
   }
-  void later(microseconds delay, std::function<void()> work) { w().at(w().now() + delay, std::move(work)); }
-  std::string pick(const std::vector<std::string>& names) {
-    return names.empty() ? "" : names[w().draw(names.size())];
+  // A random duration; the bounds are in seconds.
+  microseconds random_duration(double shortest, double longest) {
+    auto from = static_cast<microseconds>(shortest * rt::second),
+         to = static_cast<microseconds>(longest * rt::second);
+    return from + static_cast<microseconds>(sim().draw(static_cast<std::uint64_t>(to - from + 1)));
   }
-  std::string pick_node() {
-    auto names = target.of_role(pick({"control_node", "storage_node", "agent", "proxy", "engine"}));
-    std::erase_if(names, [this](auto& name) { return gone.contains(name) || !w().find(name).up; });
-    return pick(names);
+  void run_after(microseconds delay, std::function<void()> work) {
+    sim().at(sim().now() + delay, std::move(work));
   }
+  // A random element; empty when there is none.
+  std::string random_of(const std::vector<std::string>& names) {
+    return names.empty() ? "" : names[sim().draw(names.size())];
+  }
+  // A random node or engine that is up, its role chosen first.
+  std::string random_running_node() {
+    auto names = target.of_role(random_of({"control_node", "storage_node", "agent", "proxy", "engine"}));
+    std::erase_if(names, [this](auto& name) { return removed.contains(name) || !sim().find(name).up; });
+    return random_of(names);
+  }
+  // Boots the machine after the delay, unless it was removed by then.
   void boot_later(const std::string& name, microseconds delay) {
-    later(delay, [self = shared_from_this(), name] {
-      if (!self->gone.contains(name) && !self->target.role_of(name).empty()) self->target.boot(name);
+    run_after(delay, [self = shared_from_this(), name] {
+      if (!self->removed.contains(name) && !self->target.role_of(name).empty()) self->target.boot(name);
     });
   }
-  std::vector<std::string> in_zone(const std::string& zone) {
+  std::vector<std::string> nodes_in_zone(const std::string& zone) {
     std::vector<std::string> names;
-    for (auto& name : w().names())
-      if (w().find(name).zone == zone && !gone.contains(name) && !target.role_of(name).empty())
+    for (auto& name : sim().names())
+      if (sim().find(name).zone == zone && !removed.contains(name) && !target.role_of(name).empty())
         names.push_back(name);
     return names;
   }
-  std::vector<std::string> ours() {
+  // All nodes of the site: without engines, the platform and callers.
+  std::vector<std::string> site_nodes() {
     std::vector<std::string> names;
     for (auto* role : {"control_node", "storage_node", "agent", "proxy"})
       for (auto& name : target.of_role(role))
-        if (!gone.contains(name)) names.push_back(name);
+        if (!removed.contains(name)) names.push_back(name);
     return names;
   }
 
-  void kill_one() {
-    auto name = pick_node();
+  void kill_node() {
+    auto name = random_running_node();
     if (name.empty()) return;
-    auto loss = w().draw(2) ? disk_loss::none : disk_loss::unsynced;
+    auto loss = sim().draw(2) ? disk_loss::none : disk_loss::unsynced;
     bool silent = loss == disk_loss::unsynced;
-    tell("kill " + name + (silent ? " by power" : ""));
-    w().kill(name, loss, silent);
-    boot_later(name, span(0.1, 6));
+    log_fault("kill " + name + (silent ? " by a power failure" : ""));
+    sim().kill(name, loss, silent);
+    boot_later(name, random_duration(0.1, 6));
   }
-  void freeze_one() {
-    auto name = pick_node();
+  void freeze_node() {
+    auto name = random_running_node();
     if (name.empty()) return;
-    tell("freeze " + name);
-    w().freeze(name);
-    later(span(0.2, 7), [self = shared_from_this(), name] { self->w().wake(name); });
+    log_fault("freeze " + name);
+    sim().freeze(name);
+    run_after(random_duration(0.2, 7), [self = shared_from_this(), name] { self->sim().wake(name); });
   }
-  void cut_between(std::vector<std::string> left, std::vector<std::string> right, bool both) {
+  // Cuts every link from `left` to `right`, with `both` the other direction too, for 0.5 to 6 s.
+  void cut_links(std::vector<std::string> left, std::vector<std::string> right, bool both) {
     for (auto& from : left)
       for (auto& to : right) {
         if (from == to) continue;
-        w().cut(from, to);
-        if (both) w().cut(to, from);
+        sim().cut(from, to);
+        if (both) sim().cut(to, from);
       }
-    later(span(0.5, 6), [self = shared_from_this(), left, right] {
+    run_after(random_duration(0.5, 6), [self = shared_from_this(), left, right] {
       for (auto& from : left)
         for (auto& to : right) {
-          self->w().heal(from, to);
-          self->w().heal(to, from);
+          self->sim().heal(from, to);
+          self->sim().heal(to, from);
         }
     });
   }
-  void cut_some() {
-    auto name = pick(ours());
-    auto others = ours();
+  void cut_node() {
+    auto name = random_of(site_nodes());
+    auto others = site_nodes();
     for (auto& engine : target.of_role("engine")) others.push_back(engine);
     others.push_back("callers");
-    // An agent and its proxy stand on one machine; nothing cuts them from each other.
-    std::string beside = name.rfind("edge", 0) == 0    ? "agent" + name.substr(4)
-                         : name.rfind("agent", 0) == 0 ? "edge" + name.substr(5)
-                                                       : "";
-    std::erase_if(others, [&](auto& other) { return w().draw(2) == 0 || other == beside; });
-    bool both = w().draw(2);
-    tell(std::string("cut ") + (both ? "" : "one way ") + name + " from " + std::to_string(others.size()) +
-         " others");
-    cut_between({name}, others, both);
+    // An agent and its proxy run on one host, so no network fault separates them.
+    std::string same_host = name.rfind("edge", 0) == 0    ? "agent" + name.substr(4)
+                            : name.rfind("agent", 0) == 0 ? "edge" + name.substr(5)
+                                                          : "";
+    std::erase_if(others, [&](auto& other) { return sim().draw(2) == 0 || other == same_host; });
+    bool both = sim().draw(2);
+    log_fault(std::string("cut ") + (both ? "" : "one way ") + name + " from " +
+              std::to_string(others.size()) + " others");
+    cut_links({name}, others, both);
   }
   void split_core() {
     auto cores = target.of_role("control_node");
-    auto rest = ours();
+    auto rest = site_nodes();
     std::erase_if(rest, [this](auto& name) { return target.role_of(name) == "control_node"; });
-    if (w().draw(2)) {
-      tell("core cut off from all");
-      cut_between(cores, rest, true);
+    if (sim().draw(2)) {
+      log_fault("core cut off from all");
+      cut_links(cores, rest, true);
     } else {
-      auto lone = pick(cores);
-      std::erase(cores, lone);
-      // Some edges end up on the lone core's side.
-      std::erase_if(rest, [this](auto&) { return w().draw(2) == 0; });
-      tell("core split: " + lone + " alone with some");
+      auto isolated = random_of(cores);
+      std::erase(cores, isolated);
+      // The nodes that are left out here keep their links to the isolated core node.
+      std::erase_if(rest, [this](auto&) { return sim().draw(2) == 0; });
+      log_fault("core split: " + isolated + " cut off from the other cores and from some nodes");
       cores.insert(cores.end(), rest.begin(), rest.end());
-      cut_between({lone}, cores, true);
+      cut_links({isolated}, cores, true);
     }
   }
   void lose_zone() {
-    auto zone = pick({"zone-a", "zone-b", "zone-c"});
-    tell("lose " + zone);
-    auto back = span(1, 6);
-    for (auto& name : in_zone(zone)) {
-      w().kill(name, disk_loss::unsynced, true);
+    auto zone = random_of({"zone-a", "zone-b", "zone-c"});
+    log_fault("lose " + zone);
+    auto back = random_duration(1, 6);
+    for (auto& name : nodes_in_zone(zone)) {
+      sim().kill(name, disk_loss::unsynced, true);
       boot_later(name, back);
     }
   }
@@ -134,23 +147,23 @@
   void race_operators();
   void configure();
   void evacuate();
-  void upset_engine();
-  void make_stale();
-  void doze();
-  void upset_disk();
-  void total_loss();
+  void degrade_engine();
+  void cut_off_agent();
+  void freeze_until_takeover();
+  void degrade_disk();
+  void kill_all_nodes();
   void retire_storage();
   void add_machine();
-  void upset_platform();
-  void warn_one();
-  void roll_all();
+  void degrade_platform();
+  void warn_node();
+  void roll_all_engines();
   void replace_and_lose_zone();
   void upgrade();
   void corrupt_disk();
-  void send_twice();
-  void fail_lender();
+  void duplicate_messages();
+  void fail_during_pull();
   void lose_power_after_reply();
-  void freeze_at_await();
+  void freeze_proxy_after_message();
 };
 
 }  // namespace simulator
--- a/src/simulator/probes.h
+++ b/src/simulator/probes.h
@@ -1,15 +1,21 @@
-// What is asked of a site when the storm is over: does every proxy serve, is every conversation there?
+// Checks of a site after its faults have ended: every proxy must serve and stored conversations must
+// continue. They report violations to the oracle and inject no faults, except for the final loss of all
+// machines.
 #pragma once
 #include "simulator/site.h"
 
 namespace simulator {
 
-// Every proxy, all at once, must serve a turn and a call within 12 s of this moment.
-void probe_proxies(site& place, oracle& judge, microseconds since, const std::string& tail);
-// Conversations must go on from where they were.
-void probe_kept(site& place, oracle& judge, std::size_t most);
-// Every process, engine and the platform goes at once, some by power, at times one with its disk; all begin
-// again in any order within four seconds. Returns the moment of the loss.
-microseconds lose_everything(site& place, std::vector<std::string>& story, const std::set<std::string>& gone);
+// Probes all proxies concurrently: each must serve a turn and a call within 12 s of `since` (virtual time). A
+// proxy that doesn't violates the rule "service". `suffix` names the probe in the names of its programs.
+void probe_proxies(site& target, oracle& checker, microseconds since, const std::string& suffix);
+// Continues up to `limit` stored conversations from where they were; one that can't be continued within 15 s
+// violates the rule "kept".
+void probe_kept_programs(site& target, oracle& checker, std::size_t limit);
+// Kills all nodes, engines and the platform at once; some lose unsynced data and sometimes one loses its
+// whole disk. All boot again within 4 s, in random order, except the machines in `removed` that are down.
+// Returns the virtual time of the loss.
+microseconds kill_all_machines(site& target, std::vector<std::string>& fault_log,
+                               const std::set<std::string>& removed);
 
 }  // namespace simulator
