--- a/src/simulator/seed_runs.h
+++ b/src/simulator/seed_runs.h
@@ -1,5 +1,5 @@
-// What the command lines of both simulators share: ranges of seeds, kinds of faults, the printing of broken
-// rules, and the search for a seed that notices a broken mechanism.
+// Shared by the command lines of the simulators and other test programs: parsing of seed ranges and fault
+// kinds, printing of violations, and the check that a broken mechanism is detected. Runs no scenario itself.
 #pragma once
 #include <stdio.h>
 
@@ -12,12 +12,13 @@
 
 namespace simulator {
 
+// Seeds from `first` to `last`, both included.
 struct seed_range {
   std::uint64_t first = 0, last = 0;
   std::uint64_t size() const { return last - first + 1; }
 };
 
-// Of "A..B"; ends the program with code 2 for any other text.
+// Parses "A..B"; ends the program with exit code 2 for any other text.
 inline seed_range parse_seeds(const std::string& program, const std::string& text) {
   auto dots = text.find("..");
   bool digits = dots != std::string::npos && dots > 0 && dots + 2 < text.size() &&
@@ -26,7 +27,7 @@
   return {std::stoull(text.substr(0, dots)), std::stoull(text.substr(dots + 2))};
 }
 
-// The names in a text with commas between.
+// Splits a comma-separated list.
 inline std::vector<std::string> split_names(const std::string& text) {
   std::vector<std::string> names;
   for (std::size_t begin = 0; begin < text.size();) {
@@ -37,7 +38,8 @@
   return names;
 }
 
-// Kinds with commas between; ends the program with code 2 for one that isn't `known`.
+// Parses a comma-separated list of fault kinds; ends the program with exit code 2 for one that isn't in
+// `known`.
 inline std::vector<std::string> parse_kinds(const std::string& program, const std::string& text,
                                             const std::vector<std::string>& known) {
   auto chosen = split_names(text);
@@ -47,6 +49,7 @@
   return chosen;
 }
 
+// Prints the first `limit` violations: virtual time in seconds, rule and details.
 template <class Violation>
 void print_first(const std::vector<Violation>& violations, std::size_t limit) {
   for (std::size_t shown = 0; shown < std::min(limit, violations.size()); ++shown) {
@@ -56,19 +59,21 @@
   fflush(stdout);
 }
 
-// With the mechanism whole no seed breaks a rule; with it broken, some seed breaks the rule that it protects.
-// Returns the program's exit code: 0 if that is so. `run` takes a seed and returns a report with
-// `violations`. Several mechanisms that protect one rule are named with commas between and broken together.
+// Checks that the oracle detects a disabled mechanism: runs each seed with all mechanisms intact, which must
+// give no violation, and with `mechanism` disabled, until one seed violates `rule`. Returns the program's
+// exit code: 0 if one did, 1 otherwise or in a build without HERONTALLY_BREAKS. `run` takes a seed and
+// returns a report with `violations`. Several mechanisms that protect one rule are named as a comma-separated
+// list and disabled together.
 template <class Run>
 int show_break([[maybe_unused]] Run run, [[maybe_unused]] seed_range seeds, const std::string& mechanism,
                const std::string& rule) {
 #ifdef HERONTALLY_BREAKS
   for (auto seed = seeds.first; seed <= seeds.last; ++seed) {
     herontally::breaks().clear();
-    auto whole = run(seed);
-    if (!whole.violations.empty()) {
-      printf("seed %llu breaks %s without any break: %s\n", static_cast<unsigned long long>(seed),
-             whole.violations[0].rule.c_str(), whole.violations[0].what.c_str());
+    auto intact = run(seed);
+    if (!intact.violations.empty()) {
+      printf("seed %llu violates %s with all mechanisms intact: %s\n", static_cast<unsigned long long>(seed),
+             intact.violations[0].rule.c_str(), intact.violations[0].what.c_str());
       return 1;
     }
     for (auto& name : split_names(mechanism)) herontally::breaks().insert(name);
