--- a/src/engine_stand_in/node_state.h
+++ b/src/engine_stand_in/node_state.h
@@ -1,4 +1,4 @@
-// Internal to engine_stand_in.
+// State of one engine stand-in, shared by its source files. Not part of the package's interface.
 #pragma once
 #include <list>
 #include <set>
@@ -14,17 +14,18 @@
 using runtime::second;
 using runtime::task;
 
-struct pulled {
+// Result of pulling blocks from another engine: counts of blocks and bytes.
+struct pull_result {
   std::int64_t asked = 0, found = 0, bytes = 0;
   bool failed = false;
 };
 
-// What a lender has written so far of the blocks that were asked for.
+// Progress of reading the requested blocks from a lender.
 struct block_transfer {
   std::vector<std::string> wanted;
-  pulled result;
-  std::string buffer;  // the beginning of a line
-  bool whole = false;  // the lender's last line has come
+  pull_result result;
+  std::string buffer;     // an incomplete line
+  bool complete = false;  // the lender's final line was received
 };
 
 // One completion at a model engine.
@@ -32,70 +33,77 @@
   runtime::inbound_request request;
   http_api::writer out;
   microseconds arrived = 0;
-  json transfer;                    // its kv_transfer_params
-  std::vector<std::string> hashes;  // of the prompt's whole blocks
-  run seen;                         // what the watcher was given when it came
+  json transfer;                    // the request's kv_transfer_params
+  std::vector<std::string> hashes;  // of the prompt's full blocks
+  run event;                        // what was reported to the watcher on arrival
 };
 
 struct node::state : std::enable_shared_from_this<node::state> {
   runtime::handle runtime;
-  options choice;
+  options config;
   logging::logger logger;
   std::function<void(const run&)> watcher;
-  double born;
+  double start_time_seconds;  // wall clock
   microseconds ready_at;
   bool draining = false, lose_answers = false;
-  std::string lender = "well";
-  std::int64_t running = 0, waiting = 0;
-  std::int64_t lending = 0;
+  std::string lender_mode = "well";
+  std::int64_t running = 0, waiting = 0;  // requests that hold a slot or wait for one
+  std::int64_t lending = 0;               // block transfers to other engines
   std::map<std::string, std::map<std::uint64_t, std::pair<active_request, http_api::writer>>>
-      under_way;  // by kind
+      active_by_kind;  // by kind and number
   std::uint64_t next_active = 1;
-  microseconds busy_until = 0;
-  std::vector<runtime::slot<bool>> line;
-  std::list<std::string> order;  // the block cache, least lately used first
+  microseconds busy_until = 0;  // end of the last scheduled prefill
+  std::vector<runtime::slot<bool>> slot_waiters;
+  std::list<std::string> lru_order;  // block hashes, least recently used first
   std::unordered_map<std::string, std::list<std::string>::iterator> blocks;
-  std::map<std::string, std::pair<std::int64_t, json>> calls;  // by key: times run, last answer
+  std::map<std::string, std::pair<std::int64_t, json>> calls;  // by key: number of runs, last answer
 
-  state(runtime::handle handle, options given, logging::logger lines)
+  state(runtime::handle handle, options initial, logging::logger log)
       : runtime(handle),
-        choice(std::move(given)),
-        logger(lines),
-        born(static_cast<double>(handle.wall()) / second),
+        config(std::move(initial)),
+        logger(log),
+        start_time_seconds(static_cast<double>(handle.wall()) / second),
         ready_at(handle.now()) {}
   void behave(const std::string& how);
-  void hold(const std::string& hash);
-  std::size_t leading(const std::vector<std::string>& hashes);
-  task<> take_place();
-  void leave_place();
+  // Inserts a block or marks it as the most recently used; evicts the least recently used block beyond
+  // cache_blocks.
+  void cache_block(const std::string& hash);
+  // Number of blocks at the beginning of the list that are cached.
+  std::size_t cached_prefix_blocks(const std::vector<std::string>& hashes);
+  // Waits until fewer than most_running requests run. Waiters are woken in order of arrival.
+  task<> acquire_slot();
+  void release_slot();
   std::size_t block_bytes() const;
   prefix::identity identity_of(const json& cache) const;
-  task<pulled> borrow(model_turn turn);
-  task<pulled> pull(json parameters, std::vector<std::string> hashes, microseconds arrived);
-  bool take_block(block_transfer& transfer, const json& line);
-  void take_bytes(block_transfer& transfer, const std::string& bytes);
-  void take_event(block_transfer& transfer, const std::optional<runtime::http_event>& event);
-  void count_pull(const pulled& result) const;
-  void tell_hit(const model_turn& turn, std::size_t held) const;
+  task<pull_result> borrow_blocks(model_turn turn);
+  task<pull_result> pull_blocks(json parameters, std::vector<std::string> hashes, microseconds arrived);
+  bool accept_block(block_transfer& transfer, const json& line);
+  void accept_bytes(block_transfer& transfer, const std::string& bytes);
+  void accept_event(block_transfer& transfer, const std::optional<runtime::http_event>& event);
+  void count_pull(const pull_result& result) const;
+  void report_hit(const model_turn& turn, std::size_t held) const;
   task<> prefill(std::int64_t prompt_tokens, std::int64_t cached_tokens);
   task<std::optional<std::int64_t>> decode(http_api::writer out,
                                            std::shared_ptr<std::vector<std::int64_t>> tokens,
-                                           std::int64_t most);
+                                           std::int64_t max_tokens);
   task<> complete(runtime::inbound_request request, json body, http_api::writer out);
   task<> lend(json body, http_api::writer out);
-  // Counts this piece of work in until the result is let go.
+  // Lists the request as active until the returned pointer is released.
   std::shared_ptr<void> track_request(const std::string& kind, const runtime::inbound_request& incoming,
                                       const http_api::writer& out);
   std::vector<active_request> active_requests(const std::string& kind) const;
-  void tell(const std::string& what, const runtime::inbound_request& incoming, const std::string& key,
-            const std::string& kind);
+  // Reports an event to the watcher; `kind` selects the active requests that are listed with it.
+  void report_event(const std::string& what, const runtime::inbound_request& incoming, const std::string& key,
+                    const std::string& kind);
   task<> call(runtime::inbound_request incoming, http_api::writer out);
   task<> serve_request(runtime::inbound_request incoming, http_api::writer out);
   std::string metrics();
 };
 
-// How long a turn may wait for blocks, counted from its arrival.
+// Time limit of a block pull in microseconds, counted from the turn's arrival; 2 s unless the request sets
+// it.
 microseconds pull_timeout_of(const json& transfer);
+// When the request left its sender, from the header that the simulator adds; 0 without it.
 microseconds sent_of(const runtime::inbound_request& incoming);
 
 }  // namespace herontally::engine_stand_in
