--- a/src/platform_stand_in/node.cc
+++ b/src/platform_stand_in/node.cc
@@ -1,3 +1,4 @@
+// Endpoints of the platform stand-in: the engine list, its changes, and the readiness of nodes.
 #include "platform_stand_in/node.h"
 
 #include "http_api/responses.h"
@@ -12,36 +13,38 @@
 
 struct node::state : std::enable_shared_from_this<node::state> {
   runtime::handle runtime;
-  options choice;
+  options config;
   logging::logger logger;
-  json shown;
-  std::map<std::string, bool> ready;
+  json visible_engines;
+  std::map<std::string, bool> ready_by_address;
   bool silent = false;
 
-  state(runtime::handle handle, options given, logging::logger lines)
+  state(runtime::handle handle, options initial, logging::logger log)
       : runtime(std::move(handle)),
-        choice(std::move(given)),
-        logger(std::move(lines)),
-        shown(choice.engines) {}
+        config(std::move(initial)),
+        logger(std::move(log)),
+        visible_engines(config.engines) {}
 
-  void set(json engines) {
-    choice.engines = engines;
+  // Replaces the engine list; clients see it after the configured delay.
+  void schedule_engines(json engines) {
+    config.engines = engines;
     std::weak_ptr<state> weak = weak_from_this();
-    runtime.after(static_cast<microseconds>(choice.late_milliseconds * 1000), [weak, engines] {
-      if (auto here = weak.lock()) here->shown = engines;
+    runtime.after(static_cast<microseconds>(config.late_milliseconds * 1000), [weak, engines] {
+      if (auto here = weak.lock()) here->visible_engines = engines;
     });
   }
 
-  static task<> check_one(std::shared_ptr<state> self, std::string address) {
+  static task<> check_node(std::shared_ptr<state> self, std::string address) {
     runtime::http_request request;
     request.path = "/readyz";
     auto result = co_await runtime::http_fetch(self->runtime, address, request, 800 * millisecond);
     auto* response = std::get_if<runtime::http_response>(&result);
-    self->ready[address] = response && response->status == 200;
+    self->ready_by_address[address] = response && response->status == 200;
   }
+  // Checks every node each second, for as long as the process runs.
   static task<> check_nodes(std::shared_ptr<state> self) {
     while (true) {
-      for (auto& address : self->choice.nodes) self->runtime.spawn(check_one(self, address));
+      for (auto& address : self->config.nodes) self->runtime.spawn(check_node(self, address));
       co_await self->runtime.sleep(second);
     }
   }
@@ -50,48 +53,48 @@
     if (silent) return out->cut();
     if (http_api::common_pages(incoming, out, logger, true)) return;
     if (incoming.path == "/v1/engines" && incoming.method == "GET")
-      return http_api::reply_json(out, 200, {{"engines", shown}});
+      return http_api::reply_json(out, 200, {{"engines", visible_engines}});
     if (incoming.path == "/v1/nodes" && incoming.method == "GET")
-      return http_api::reply_json(out, 200, {{"ready", ready}});
+      return http_api::reply_json(out, 200, {{"ready", ready_by_address}});
     if (incoming.path == "/v1/engines" && incoming.method == "PUT") {
       auto body = json::parse(incoming.body, nullptr, false);
       if (!body.is_object() || !body.contains("engines") || !body["engines"].is_array())
         return http_api::reject(out, 400, "engines must be a list", http_api::executed::no);
-      set(body["engines"]);
+      schedule_engines(body["engines"]);
       return http_api::reply_json(out, 200, {{"taken", true}});
     }
     auto parts = http_api::split_path(incoming.path);
     if (parts.size() == 4 && parts[1] == "engines" && incoming.method == "POST") {
       json engines = json::array();
-      for (auto entry : choice.engines) {
+      for (auto entry : config.engines) {
         if (entry["name"] == parts[2] && parts[3] == "remove") continue;
         if (entry["name"] == parts[2]) entry["state"] = parts[3] == "leave" ? "leaving" : "running";
         engines.push_back(entry);
       }
-      set(engines);
+      schedule_engines(engines);
       return http_api::reply_json(out, 200, {{"taken", true}});
     }
     http_api::reject(out, 404, "no such page", http_api::executed::no);
   }
 };
 
-node::node(runtime::handle runtime, options choice, logging::logger logger)
-    : state_(std::make_shared<state>(std::move(runtime), std::move(choice), std::move(logger))) {}
+node::node(runtime::handle runtime, options config, logging::logger logger)
+    : state_(std::make_shared<state>(std::move(runtime), std::move(config), std::move(logger))) {}
 node::~node() = default;
-void node::set_engines(json engines) { state_->set(std::move(engines)); }
+void node::set_engines(json engines) { state_->schedule_engines(std::move(engines)); }
 void node::upset(bool silent, double late_milliseconds) {
   state_->silent = silent;
-  state_->choice.late_milliseconds = late_milliseconds;
+  state_->config.late_milliseconds = late_milliseconds;
 }
-const json& node::engines() const { return state_->choice.engines; }
+const json& node::engines() const { return state_->config.engines; }
 
 task<std::optional<std::string>> node::start() {
   std::weak_ptr<state> weak = state_;
-  bool served = state_->runtime.http_serve(state_->choice.http,
+  bool served = state_->runtime.http_serve(state_->config.http,
                                            [weak](runtime::inbound_request incoming, http_api::writer out) {
                                              if (auto here = weak.lock()) here->serve_request(incoming, out);
                                            });
-  if (!served) co_return "http can't be listened on: " + state_->choice.http;
+  if (!served) co_return "http can't be listened on: " + state_->config.http;
   state_->runtime.spawn(state::check_nodes(state_));
   co_return std::nullopt;
 }
