--- a/src/load_generator/load.cc
+++ b/src/load_generator/load.cc
@@ -1,3 +1,5 @@
+// Open-loop client programs of each deployment, and the report of their results.
+// Single requests are in requests.cc.
 #include "load_generator/load.h"
 
 #include <algorithm>
@@ -12,35 +14,38 @@
 
 namespace {
 
-struct shape {
-  std::string partner, quick, slow;      // programs
-  std::string tool, second_tool, plain;  // routes
-  bool second_twice = false;             // the second tool's result is fetched twice
+// The programs and routes of one deployment's traffic; an empty route is not called.
+struct traffic_shape {
+  std::string partner, short_program, long_program;
+  std::string first_tool, second_tool, unkeyed_route;  // unkeyed_route: called without an idempotency key
+  bool repeat_second_tool = false;                     // calls the second tool twice with the same key
 };
 
-shape shape_of(const std::string& name) {
+traffic_shape shape_of(const std::string& name) {
   if (name == "zastavica")
     return {"zastavica", "flag-question", "rollout", "audit-pulls", "rule-exports", "flag-sets", false};
   return {"swanreach", "eligibility", "exchange", "labels", "barcodes", "", true};
 }
 
-struct tally {
+// Results of all programs of one run.
+struct run_counts {
   std::int64_t turns = 0, complete = 0, cut = 0, unanswered = 0, calls = 0, calls_done = 0, calls_unknown = 0;
   std::map<std::string, std::int64_t> refusals, oddities;
-  std::vector<double> first, whole;
-  std::int64_t tokens = 0, under_way = 0;
+  std::vector<double> first_piece_seconds, turn_seconds;
+  std::int64_t tokens = 0, active_programs = 0;
 };
 
+// What all programs of one run share.
 struct session {
   runtime::handle runtime;
-  options choice;
+  options config;
   watcher observer;
-  shape kind;
-  std::shared_ptr<tally> counts = std::make_shared<tally>();
+  traffic_shape traffic;
+  std::shared_ptr<run_counts> counts = std::make_shared<run_counts>();
 
-  std::string proxy() const { return choice.proxies[runtime.draw(choice.proxies.size())]; }
+  std::string random_proxy() const { return config.proxies[runtime.draw(config.proxies.size())]; }
 
-  void note(const seen_turn& seen) const {
+  void record(const seen_turn& seen) const {
     ++counts->turns;
     if (!seen.odd.empty()) ++counts->oddities[seen.odd];
     if (seen.status == 0)
@@ -52,13 +57,13 @@
     else
       ++counts->cut;
     if (seen.end == "complete") {
-      counts->first.push_back(seen.first_piece_seconds);
-      counts->whole.push_back(seen.seconds);
+      counts->first_piece_seconds.push_back(seen.first_piece_seconds);
+      counts->turn_seconds.push_back(seen.seconds);
       counts->tokens += seen.tokens;
     }
     if (observer.turn) observer.turn(seen);
   }
-  void note(const seen_call& seen) const {
+  void record(const seen_call& seen) const {
     ++counts->calls;
     if (seen.status == 0)
       ++counts->unanswered;
@@ -72,96 +77,104 @@
   }
 };
 
-task<> one_call(session here, std::string route, std::string key, std::string body) {
-  auto seen = co_await make_call(here.runtime, here.proxy(), here.kind.partner, route, key, body,
-                                 here.choice.timeout_seconds);
-  here.note(seen);
+task<> run_call(session client, std::string route, std::string key, std::string body) {
+  auto seen = co_await make_call(client.runtime, client.random_proxy(), client.traffic.partner, route, key,
+                                 body, client.config.timeout_seconds);
+  client.record(seen);
 }
 
-// A program's turns, one after another, with its tool calls behind them.
-task<> program(session here, bool slow, std::string id) {
-  ++here.counts->under_way;
-  std::string name = (slow ? here.kind.slow : here.kind.quick) + ":" + id;
-  std::int64_t turns = slow ? 3 + static_cast<std::int64_t>(here.runtime.draw(4)) : 1;
-  bool finished = true;
-  for (std::int64_t number = 0; number < turns && finished; ++number) {
+// Runs one program: its turns in sequence, then its tool calls. A failed turn ends the turns and skips the
+// keyed calls.
+task<> run_program(session client, bool is_long, std::string id) {
+  ++client.counts->active_programs;
+  std::string name = (is_long ? client.traffic.long_program : client.traffic.short_program) + ":" + id;
+  std::int64_t turns = is_long ? 3 + static_cast<std::int64_t>(client.runtime.draw(4)) : 1;
+  bool all_complete = true;
+  for (std::int64_t number = 0; number < turns && all_complete; ++number) {
     std::string prompt = "turn " + std::to_string(number) + " of " + name + ": ";
-    std::size_t words = 10 + here.runtime.draw(slow ? 60 : 20);
+    std::size_t words = 10 + client.runtime.draw(is_long ? 60 : 20);
     for (std::size_t word = 0; word < words; ++word)
-      prompt += "q" + std::to_string(here.runtime.draw(10000)) + " ";
+      prompt += "q" + std::to_string(client.runtime.draw(10000)) + " ";
     std::string turn = "t" + std::to_string(number);
     bool complete = false;
-    // A client retries after the time that the rejection names, a few times.
+    // Up to three retries, each after the response's retry_after_seconds (1 s without one) plus up to
+    // 500 ms.
     for (int attempt = 0; attempt < 4 && !complete; ++attempt) {
-      if (here.observer.begin) {
+      if (client.observer.begin) {
         seen_turn asked;
         asked.program = name;
         asked.turn = turn;
         asked.prompt = prompt;
-        here.observer.begin(asked);
+        client.observer.begin(asked);
       }
-      auto seen = co_await take_turn(here.runtime, here.proxy(), here.kind.partner, name, turn, prompt, 64,
-                                     here.choice.timeout_seconds);
-      here.note(seen);
+      auto seen = co_await take_turn(client.runtime, client.random_proxy(), client.traffic.partner, name,
+                                     turn, prompt, 64, client.config.timeout_seconds);
+      client.record(seen);
       complete = seen.end == "complete";
       if (!complete)
-        co_await here.runtime.sleep(seen.come_back_seconds * second +
-                                    static_cast<microseconds>(here.runtime.draw(500 * millisecond)));
+        co_await client.runtime.sleep(seen.come_back_seconds * second +
+                                      static_cast<microseconds>(client.runtime.draw(500 * millisecond)));
     }
-    finished = complete;
-    if (slow && complete)
-      co_await here.runtime.sleep(static_cast<microseconds>(here.runtime.draw(1500 * millisecond)));
+    all_complete = complete;
+    if (is_long && complete)
+      co_await client.runtime.sleep(static_cast<microseconds>(client.runtime.draw(1500 * millisecond)));
   }
   std::string body = json{{"program", name}}.dump();
-  if (finished && !here.kind.tool.empty()) co_await one_call(here, here.kind.tool, "k1-" + id, body);
-  if (finished && slow) {
-    co_await one_call(here, here.kind.second_tool, "k2-" + id, body);
-    if (here.kind.second_twice) co_await one_call(here, here.kind.second_tool, "k2-" + id, body);
+  if (all_complete && !client.traffic.first_tool.empty())
+    co_await run_call(client, client.traffic.first_tool, "k1-" + id, body);
+  if (all_complete && is_long) {
+    co_await run_call(client, client.traffic.second_tool, "k2-" + id, body);
+    if (client.traffic.repeat_second_tool)
+      co_await run_call(client, client.traffic.second_tool, "k2-" + id, body);
   }
-  if (!here.kind.plain.empty()) co_await one_call(here, here.kind.plain, "", body);
-  --here.counts->under_way;
+  if (!client.traffic.unkeyed_route.empty())
+    co_await run_call(client, client.traffic.unkeyed_route, "", body);
+  --client.counts->active_programs;
 }
 
+// Percentiles and maximum ("most"); null without values.
 json percentiles(std::vector<double> values) {
   if (values.empty()) return nullptr;
   std::sort(values.begin(), values.end());
-  auto at = [&](double part) {
+  auto at = [&](double quantile) {
     return values[std::min(values.size() - 1,
-                           static_cast<std::size_t>(part * static_cast<double>(values.size())))];
+                           static_cast<std::size_t>(quantile * static_cast<double>(values.size())))];
   };
   return {{"p50", at(0.5)}, {"p90", at(0.9)}, {"p99", at(0.99)}, {"most", values.back()}};
 }
 
 }  // namespace
 
-task<json> run(runtime::handle runtime, options choice, watcher observer) {
-  session here{runtime, choice, observer, shape_of(choice.shape)};
-  auto begun = runtime.now();
-  auto until = begun + static_cast<microseconds>(choice.seconds * second);
-  bool crowded = choice.crowd_at_second < 0;
+task<json> run(runtime::handle runtime, options config, watcher observer) {
+  session client{runtime, config, observer, shape_of(config.shape)};
+  auto started_at = runtime.now();
+  auto end_time = started_at + static_cast<microseconds>(config.seconds * second);
+  bool burst_started = config.crowd_at_second < 0;
   std::int64_t number = 0;
-  std::string life = runtime.random_name().substr(0, 6);
-  while (runtime.now() < until) {
-    // Quick chats come several times as often as long ones.
-    bool slow = runtime.draw(5) == 0;
-    runtime.spawn(program(here, slow, life + "-" + std::to_string(number++)));
-    if (!crowded && runtime.now() - begun >= static_cast<microseconds>(choice.crowd_at_second * second)) {
-      crowded = true;
-      for (std::int64_t each = 0; each < choice.crowd; ++each)
-        runtime.spawn(program(here, false, life + "-crowd-" + std::to_string(each)));
+  std::string run_id = runtime.random_name().substr(0, 6);
+  while (runtime.now() < end_time) {
+    // Short programs are four times as frequent as long ones.
+    bool is_long = runtime.draw(5) == 0;
+    runtime.spawn(run_program(client, is_long, run_id + "-" + std::to_string(number++)));
+    if (!burst_started &&
+        runtime.now() - started_at >= static_cast<microseconds>(config.crowd_at_second * second)) {
+      burst_started = true;
+      for (std::int64_t each = 0; each < config.crowd; ++each)
+        runtime.spawn(run_program(client, false, run_id + "-crowd-" + std::to_string(each)));
     }
     double unit = static_cast<double>(runtime.draw(1u << 30)) / (1u << 30);
-    // Open loop: the next one comes whether or not the last was answered.
-    auto gap = static_cast<microseconds>(-std::log(1 - unit) / choice.requests_per_second * second);
-    co_await runtime.sleep(std::min<microseconds>(gap, second));
+    // Open loop: the next program starts whether or not earlier ones have been answered.
+    auto interval = static_cast<microseconds>(-std::log(1 - unit) / config.requests_per_second * second);
+    co_await runtime.sleep(std::min<microseconds>(interval, second));
   }
-  // Until the last client is through: each retries up to three times, after the time that the rejection
-  // names.
-  auto latest = runtime.now() + static_cast<microseconds>((choice.timeout_seconds * 4 + 130) * second);
-  while (here.counts->under_way > 0 && runtime.now() < latest) co_await runtime.sleep(50 * millisecond);
-  auto& counts = *here.counts;
-  json report{{"shape", choice.shape},
-              {"programs", number + (choice.crowd_at_second < 0 ? 0 : choice.crowd)},
+  // Waits for the last programs: each turn is retried up to three times, after the rejection's
+  // retry_after_seconds.
+  auto wait_limit = runtime.now() + static_cast<microseconds>((config.timeout_seconds * 4 + 130) * second);
+  while (client.counts->active_programs > 0 && runtime.now() < wait_limit)
+    co_await runtime.sleep(50 * millisecond);
+  auto& counts = *client.counts;
+  json report{{"shape", config.shape},
+              {"programs", number + (config.crowd_at_second < 0 ? 0 : config.crowd)},
               {"turns", counts.turns},
               {"turns_complete", counts.complete},
               {"turns_cut", counts.cut},
@@ -172,8 +185,8 @@
               {"refusals", counts.refusals},
               {"oddities", counts.oddities},
               {"tokens", counts.tokens},
-              {"first_piece_seconds", percentiles(counts.first)},
-              {"turn_seconds", percentiles(counts.whole)}};
+              {"first_piece_seconds", percentiles(counts.first_piece_seconds)},
+              {"turn_seconds", percentiles(counts.turn_seconds)}};
   co_return report;
 }
 
--- a/src/load_generator/requests.cc
+++ b/src/load_generator/requests.cc
@@ -1,4 +1,4 @@
-// One request, with every oddity that its client can see.
+// Single requests of a client. A protocol error in a turn's response is reported in `seen_turn::odd`.
 #include "load_generator/load.h"
 
 namespace herontally::load_generator {
@@ -15,23 +15,25 @@
   return found == headers.end() ? "" : found->second;
 }
 
-struct line_reader {
+// Reads the lines of a turn's stream and checks their order and the final piece's count.
+struct piece_reader {
   seen_turn& seen;
-  std::int64_t expected = 0;
-  void take(const std::string& text) {
+  std::int64_t next_number = 0;
+  void read_line(const std::string& text) {
     auto line = json::parse(text, nullptr, false);
     if (!line.is_object() || !line.contains("n")) {
-      seen.odd = "a line that is no piece";
+      seen.odd = "a line is not a piece";
       return;
     }
-    if (!seen.end.empty()) seen.odd = "a piece after the last one";
-    if (line["n"].get<std::int64_t>() != expected) seen.odd = "a piece out of order";
-    ++expected;
+    if (!seen.end.empty()) seen.odd = "a piece after the final piece";
+    if (line["n"].get<std::int64_t>() != next_number) seen.odd = "a piece out of order";
+    ++next_number;
     if (line.contains("end")) {
       seen.end = line["end"];
       seen.tokens = line.value("tokens", std::int64_t{0});
       seen.stored = line.value("stored", false);
-      if (line.value("pieces", std::int64_t{-1}) != seen.pieces) seen.odd = "the last piece counts wrongly";
+      if (line.value("pieces", std::int64_t{-1}) != seen.pieces)
+        seen.odd = "the final piece has a wrong count of pieces";
       return;
     }
     ++seen.pieces;
@@ -42,7 +44,7 @@
 }  // namespace
 
 task<seen_turn> take_turn(runtime::handle runtime, std::string proxy, std::string partner,
-                          std::string program, std::string turn, std::string prompt, std::int64_t most_tokens,
+                          std::string program, std::string turn, std::string prompt, std::int64_t max_tokens,
                           double timeout) {
   seen_turn seen;
   seen.partner = partner;
@@ -50,20 +52,20 @@
   seen.turn = turn;
   seen.prompt = prompt;
   seen.proxy = proxy;
-  auto begun = runtime.now();
-  auto deadline = begun + static_cast<microseconds>(timeout * second);
+  auto started_at = runtime.now();
+  auto deadline = started_at + static_cast<microseconds>(timeout * second);
   runtime::http_request request;
   request.method = "POST";
   request.path = "/v1/partners/" + partner + "/programs/" + program + "/turns";
-  request.body = json{{"turn", turn}, {"prompt", prompt}, {"max_tokens", most_tokens}}.dump();
+  request.body = json{{"turn", turn}, {"prompt", prompt}, {"max_tokens", max_tokens}}.dump();
   request.headers["Content-Type"] = "application/json";
   runtime::http_stream stream(runtime, proxy, request);
-  line_reader reader{seen};
+  piece_reader reader{seen};
   std::string buffer;
   while (true) {
-    auto left = deadline - runtime.now();
-    if (left <= 0) break;
-    auto event = co_await stream.next(left);
+    auto remaining = deadline - runtime.now();
+    if (remaining <= 0) break;
+    auto event = co_await stream.next(remaining);
     if (!event || std::holds_alternative<runtime::http_failure>(*event)) break;
     if (auto* head = std::get_if<runtime::http_head>(&*event)) {
       seen.status = head->status;
@@ -75,9 +77,9 @@
         seen.ran = body.is_object() ? body.value("ran", "") : "";
         seen.request_id = body.is_object() ? body.value("request_id", "") : "";
         if (body.is_object()) seen.come_back_seconds = body.value("retry_after_seconds", std::int64_t{1});
-        bool come_back = body.is_object() && (seen.status != 503 && seen.status != 429);
-        if (!come_back && body.is_object() && !body.contains("retry_after_seconds"))
-          seen.odd = "no time to retry at";
+        bool retry_time_optional = body.is_object() && (seen.status != 503 && seen.status != 429);
+        if (!retry_time_optional && body.is_object() && !body.contains("retry_after_seconds"))
+          seen.odd = "a rejection lacks retry_after_seconds";
       }
       break;
     }
@@ -85,12 +87,12 @@
     if (seen.status != 200) continue;
     for (auto end = buffer.find('\n'); end != std::string::npos; end = buffer.find('\n')) {
       if (seen.first_piece_seconds < 0)
-        seen.first_piece_seconds = static_cast<double>(runtime.now() - begun) / second;
-      reader.take(buffer.substr(0, end));
+        seen.first_piece_seconds = static_cast<double>(runtime.now() - started_at) / second;
+      reader.read_line(buffer.substr(0, end));
       buffer.erase(0, end + 1);
     }
   }
-  seen.seconds = static_cast<double>(runtime.now() - begun) / second;
+  seen.seconds = static_cast<double>(runtime.now() - started_at) / second;
   co_return seen;
 }
 
@@ -100,7 +102,7 @@
   seen.partner = partner;
   seen.route = route;
   seen.key = key;
-  auto begun = runtime.now();
+  auto started_at = runtime.now();
   runtime::http_request request;
   request.method = "POST";
   request.path = "/v1/partners/" + partner + "/calls/" + route;
@@ -119,7 +121,7 @@
       seen.request_id = document.value("request_id", "");
     }
   }
-  seen.seconds = static_cast<double>(runtime.now() - begun) / second;
+  seen.seconds = static_cast<double>(runtime.now() - started_at) / second;
   co_return seen;
 }
 
