--- a/src/herontallyctl/commands.cc
+++ b/src/herontallyctl/commands.cc
@@ -1,3 +1,4 @@
+// Requests, results and help text of the commands.
 #include "herontallyctl/commands.h"
 
 #include <stdio.h>
@@ -15,26 +16,26 @@
 std::string help() {
   return "herontallyctl: operates a herontally site\n\n"
          "Usage: herontallyctl --core IP:PORT[,IP:PORT...] [--token TOKEN] [--proxy IP:PORT] [--timeout "
-         "SECONDS] "
-         "COMMAND\n\n"
+         "SECONDS] COMMAND\n\n"
          "Commands:\n"
          "  get                        print the configuration and its version\n"
-         "  apply FILE                 put a whole configuration; expects the version read just before\n"
-         "  patch FILE                 lay a JSON merge patch over it\n"
-         "  diff FILE                  show as a JSON patch what apply would change\n"
-         "  watch                      print each new version as it comes, until interrupted\n"
-         "  members                    the system's nodes, as one core knows them\n"
-         "  engines                    the engine list that the nodes have\n"
-         "  evacuate ZONE              no more requests to the zone's engines\n"
+         "  apply FILE                 replace the configuration; expects the version read just before\n"
+         "  patch FILE                 apply a JSON merge patch to it\n"
+         "  diff FILE                  print what apply would change, as a JSON patch\n"
+         "  watch                      print each new version until interrupted\n"
+         "  members                    print the system's nodes, as one core knows them\n"
+         "  engines                    print the engine list that the nodes use\n"
+         "  evacuate ZONE              send no more requests to the zone's engines\n"
          "  return ZONE                end the evacuation; engines warm up again\n"
          "  retire NODE                start moving a storage machine's copies away\n"
-         "  progress NODE              how far that is\n"
-         "  finish NODE                refused until three copies of everything stand elsewhere\n"
-         "  ledger PARTNER PROGRAM     one program's budget and history (needs --proxy)\n"
-         "  bootstrap CORES STORES     once for a new site: inner addresses, with commas between\n\n"
+         "  progress NODE              print how far the retirement is\n"
+         "  finish NODE                end the retirement; refused until others hold three copies of all "
+         "data\n"
+         "  ledger PARTNER PROGRAM     print one program's budget and history (needs --proxy)\n"
+         "  bootstrap CORES STORES     initialize a new site, once: comma-separated inner addresses\n\n"
          "With --expect VERSION, apply and patch expect that version instead of the one read just before.\n\n"
-         "Exit codes: 0 done, 1 refused, 2 bad usage, 3 nothing reached, 4 another change came first,\n"
-         "            5 faulty configuration, 6 result unknown\n\n"
+         "Exit codes: 0 done, 1 refused, 2 bad usage, 3 no node reached, 4 another change came first,\n"
+         "            5 invalid configuration, 6 result unknown\n\n"
          "Examples:\n"
          "  herontallyctl --core 127.0.0.1:7102 --token \"$TOKEN\" apply examples/swanreach/desired.json\n"
          "  herontallyctl --core 127.0.0.1:7102 --token \"$TOKEN\" evacuate perth-b\n"
@@ -43,31 +44,34 @@
 
 namespace {
 
+// A core's or proxy's response.
 struct reply {
-  int status = 0;  // 0: no core answered
+  int status = 0;  // 0: no response
   json body;
-  bool sent = false;
+  bool sent = false;  // without a response: whether the request may have reached a core
 };
 
-task<reply> ask(runtime::handle runtime, setting given, std::string method, std::string path,
-                std::string body, std::string expected) {
+// Sends a request to the addresses in order until one responds. `expected` is the version for If-Match;
+// empty: none.
+task<reply> send_request(runtime::handle runtime, client_options options, std::string method,
+                         std::string path, std::string body, std::string expected) {
   reply result;
-  for (auto& core : given.cores) {
+  for (auto& core : options.cores) {
     runtime::http_request request;
     request.method = method;
     request.path = path;
     request.body = body;
-    if (!given.token.empty()) request.headers["Authorization"] = "Bearer " + given.token;
+    if (!options.token.empty()) request.headers["Authorization"] = "Bearer " + options.token;
     if (!expected.empty()) request.headers["If-Match"] = expected;
     if (!body.empty()) request.headers["Content-Type"] = "application/json";
-    auto wait = static_cast<runtime::microseconds>(given.timeout_seconds * second);
-    auto outcome = co_await runtime::http_fetch(runtime, core, request, wait);
+    auto timeout = static_cast<runtime::microseconds>(options.timeout_seconds * second);
+    auto outcome = co_await runtime::http_fetch(runtime, core, request, timeout);
     if (auto* response = std::get_if<runtime::http_response>(&outcome)) {
       result.status = response->status;
       result.body = json::parse(response->body, nullptr, false);
       co_return result;
     }
-    // A change that may have reached a core isn't sent to another one unasked.
+    // A change that may have reached a core is not sent to another one without the operator's decision.
     if (std::get<runtime::http_failure>(outcome).sent && method != "GET") {
       result.sent = true;
       co_return result;
@@ -76,30 +80,32 @@
   co_return result;
 }
 
-int finish(const reply& result) {
+// Prints the result of a command and returns its exit code.
+int print_result(const reply& result) {
   if (result.status == 0) {
     fprintf(stderr, "herontallyctl: %s\n",
-            result.sent ? "the answer is lost; get the version to see" : "--core names no core that answers");
-    return result.sent ? unknown : unreachable;
+            result.sent ? "no answer to a change that may have been made; compare the version with `get`"
+                        : "none of the addresses answers");
+    return result.sent ? result_unknown : unreachable;
   }
   if (result.status == 200) {
     printf("%s\n", result.body.dump(2).c_str());
     return done;
   }
   if (result.status == 202) {
-    fprintf(stderr, "herontallyctl: chosen as version %s, but not yet confirmed in force\n",
+    fprintf(stderr, "herontallyctl: chosen as version %s, but not yet confirmed to be in force\n",
             result.body["version"].dump().c_str());
-    return unknown;
+    return result_unknown;
   }
-  std::string why = result.body.is_object() ? result.body.value("error", "") : "";
-  fprintf(stderr, "herontallyctl: %d %s\n", result.status, why.c_str());
+  std::string error = result.body.is_object() ? result.body.value("error", "") : "";
+  fprintf(stderr, "herontallyctl: %d %s\n", result.status, error.c_str());
   if (result.body.is_object() && result.body.contains("faults"))
     for (auto& fault : result.body["faults"])
       fprintf(stderr, "  %s: %s\n", fault.value("pointer", "").c_str(), fault.value("what", "").c_str());
-  if (result.status == 412) return stale;
-  if (result.status == 422) return faulty;
-  bool open = result.body.is_object() && result.body.value("ran", "") == "unknown";
-  return open ? unknown : refused;
+  if (result.status == 412) return version_conflict;
+  if (result.status == 422) return invalid_configuration;
+  bool may_have_run = result.body.is_object() && result.body.value("ran", "") == "unknown";
+  return may_have_run ? result_unknown : refused;
 }
 
 std::optional<json> read_file(const std::string& name) {
@@ -116,28 +122,31 @@
   return document;
 }
 
-task<int> change(runtime::handle runtime, setting given, std::string method, std::string file,
-                 std::string expected) {
+// `apply` and `patch`: sends the file's content, expecting the current version unless `expected` names
+// another.
+task<int> change_configuration(runtime::handle runtime, client_options options, std::string method,
+                               std::string file, std::string expected) {
   auto document = read_file(file);
   if (!document) co_return usage;
   if (expected.empty()) {
-    auto now = co_await ask(runtime, given, "GET", "/v1/desired", "", "");
-    if (now.status != 200) co_return finish(now);
-    expected = std::to_string(now.body.value("version", std::int64_t{0}));
+    auto current = co_await send_request(runtime, options, "GET", "/v1/desired", "", "");
+    if (current.status != 200) co_return print_result(current);
+    expected = std::to_string(current.body.value("version", std::int64_t{0}));
   }
   std::string body = document->dump();
-  auto result = co_await ask(runtime, given, method, "/v1/desired", body, expected);
-  co_return finish(result);
+  auto result = co_await send_request(runtime, options, method, "/v1/desired", body, expected);
+  co_return print_result(result);
 }
 
-task<int> watch(runtime::handle runtime, setting given) {
+// Polls every 500 ms. Failures after the first version are ignored until the next poll.
+task<int> watch(runtime::handle runtime, client_options options) {
   std::int64_t last = -1;
   while (true) {
-    auto now = co_await ask(runtime, given, "GET", "/v1/desired", "", "");
-    if (now.status != 200 && last < 0) co_return finish(now);
-    auto version = now.status == 200 ? now.body.value("version", std::int64_t{0}) : last;
+    auto current = co_await send_request(runtime, options, "GET", "/v1/desired", "", "");
+    if (current.status != 200 && last < 0) co_return print_result(current);
+    auto version = current.status == 200 ? current.body.value("version", std::int64_t{0}) : last;
     if (version != last) {
-      printf("%s\n", json{{"version", version}, {"revision", now.body["revision"]}}.dump().c_str());
+      printf("%s\n", json{{"version", version}, {"revision", current.body["revision"]}}.dump().c_str());
       fflush(stdout);
       last = version;
     }
@@ -145,15 +154,15 @@
   }
 }
 
-task<int> ledger(runtime::handle runtime, setting given, std::string partner, std::string program) {
-  if (given.proxies.empty()) {
+task<int> ledger(runtime::handle runtime, client_options options, std::string partner, std::string program) {
+  if (options.proxies.empty()) {
     fprintf(stderr, "herontallyctl: --proxy is missing\n");
     co_return usage;
   }
-  given.cores = given.proxies;
-  auto result =
-      co_await ask(runtime, given, "GET", "/v1/partners/" + partner + "/programs/" + program, "", "");
-  co_return finish(result);
+  options.cores = options.proxies;
+  auto result = co_await send_request(runtime, options, "GET",
+                                      "/v1/partners/" + partner + "/programs/" + program, "", "");
+  co_return print_result(result);
 }
 
 json address_list(const std::string& text) {
@@ -166,61 +175,62 @@
   return list;
 }
 
-task<int> diff(runtime::handle runtime, setting given, std::string file) {
+task<int> diff(runtime::handle runtime, client_options options, std::string file) {
   auto document = read_file(file);
   if (!document) co_return usage;
-  auto now = co_await ask(runtime, given, "GET", "/v1/desired", "", "");
-  if (now.status != 200) co_return finish(now);
-  printf("%s\n", json::diff(now.body["desired"], *document).dump(2).c_str());
+  auto current = co_await send_request(runtime, options, "GET", "/v1/desired", "", "");
+  if (current.status != 200) co_return print_result(current);
+  printf("%s\n", json::diff(current.body["desired"], *document).dump(2).c_str());
   co_return done;
 }
 
 }  // namespace
 
-task<int> run(runtime::handle runtime, setting given, std::vector<std::string> arguments) {
+task<int> run(runtime::handle runtime, client_options options, std::vector<std::string> arguments) {
   std::string expected;
   for (std::size_t position = 0; position + 1 < arguments.size(); ++position)
     if (arguments[position] == "expect") expected = arguments[position + 1];
-  std::string verb = arguments[0];
+  std::string command = arguments[0];
   std::size_t count = arguments.size();
-  auto plain = [&](const char* method, std::string path) {
-    return ask(runtime, given, method, std::move(path), "", "");
+  auto request_without_body = [&](const char* method, std::string path) {
+    return send_request(runtime, options, method, std::move(path), "", "");
   };
   reply result;
-  if (verb == "get" && count == 1) {
-    result = co_await plain("GET", "/v1/desired");
-  } else if (verb == "members" && count == 1) {
-    result = co_await plain("GET", "/v1/members");
-  } else if (verb == "engines" && count == 1) {
-    result = co_await plain("GET", "/v1/engines");
-  } else if (verb == "evacuate" && count == 2) {
-    result = co_await plain("PUT", "/v1/zones/" + arguments[1] + "/evacuation");
-  } else if (verb == "return" && count == 2) {
-    result = co_await plain("DELETE", "/v1/zones/" + arguments[1] + "/evacuation");
-  } else if (verb == "retire" && count == 2) {
-    result = co_await plain("PUT", "/v1/storage/" + arguments[1] + "/retirement");
-  } else if (verb == "progress" && count == 2) {
-    result = co_await plain("GET", "/v1/storage/" + arguments[1] + "/retirement");
-  } else if (verb == "finish" && count == 2) {
-    result = co_await plain("DELETE", "/v1/storage/" + arguments[1] + "/retirement");
-  } else if (verb == "bootstrap" && count == 3) {
+  if (command == "get" && count == 1) {
+    result = co_await request_without_body("GET", "/v1/desired");
+  } else if (command == "members" && count == 1) {
+    result = co_await request_without_body("GET", "/v1/members");
+  } else if (command == "engines" && count == 1) {
+    result = co_await request_without_body("GET", "/v1/engines");
+  } else if (command == "evacuate" && count == 2) {
+    result = co_await request_without_body("PUT", "/v1/zones/" + arguments[1] + "/evacuation");
+  } else if (command == "return" && count == 2) {
+    result = co_await request_without_body("DELETE", "/v1/zones/" + arguments[1] + "/evacuation");
+  } else if (command == "retire" && count == 2) {
+    result = co_await request_without_body("PUT", "/v1/storage/" + arguments[1] + "/retirement");
+  } else if (command == "progress" && count == 2) {
+    result = co_await request_without_body("GET", "/v1/storage/" + arguments[1] + "/retirement");
+  } else if (command == "finish" && count == 2) {
+    result = co_await request_without_body("DELETE", "/v1/storage/" + arguments[1] + "/retirement");
+  } else if (command == "bootstrap" && count == 3) {
     json body{{"core", address_list(arguments[1])}, {"store", address_list(arguments[2])}};
-    result = co_await ask(runtime, given, "POST", "/v1/bootstrap", body.dump(), "");
-  } else if ((verb == "apply" || verb == "patch") && (count == 2 || count == 4)) {
-    co_return co_await change(runtime, given, verb == "apply" ? "PUT" : "PATCH", arguments[1], expected);
-  } else if (verb == "diff" && count == 2) {
-    co_return co_await diff(runtime, given, arguments[1]);
-  } else if (verb == "watch" && count == 1) {
-    co_return co_await watch(runtime, given);
-  } else if (verb == "ledger" && count == 3) {
-    co_return co_await ledger(runtime, given, arguments[1], arguments[2]);
+    result = co_await send_request(runtime, options, "POST", "/v1/bootstrap", body.dump(), "");
+  } else if ((command == "apply" || command == "patch") && (count == 2 || count == 4)) {
+    co_return co_await change_configuration(runtime, options, command == "apply" ? "PUT" : "PATCH",
+                                            arguments[1], expected);
+  } else if (command == "diff" && count == 2) {
+    co_return co_await diff(runtime, options, arguments[1]);
+  } else if (command == "watch" && count == 1) {
+    co_return co_await watch(runtime, options);
+  } else if (command == "ledger" && count == 3) {
+    co_return co_await ledger(runtime, options, arguments[1], arguments[2]);
   } else {
     fprintf(stderr,
-            "herontallyctl: COMMAND is not known or has the wrong number of arguments: %s; see --help\n",
-            verb.c_str());
+            "herontallyctl: COMMAND is unknown or has the wrong number of arguments: %s; see --help\n",
+            command.c_str());
     co_return usage;
   }
-  co_return finish(result);
+  co_return print_result(result);
 }
 
 }  // namespace herontally::herontallyctl
--- a/src/herontallyctl/main.cc
+++ b/src/herontallyctl/main.cc
@@ -1,18 +1,20 @@
+// Command line of herontallyctl: reads and checks the flags and runs one command.
 #include <absl/flags/flag.h>
 
 #include "herontallyctl/commands.h"
 #include "runtime/event_loop.h"
 #include "settings/settings.h"
 
-ABSL_FLAG(std::string, core, "", "HTTP addresses of cores, with commas between");
+ABSL_FLAG(std::string, core, "", "comma-separated HTTP addresses of cores");
 ABSL_FLAG(std::string, proxy, "", "HTTP address of a proxy");
 ABSL_FLAG(std::string, token, "", "operator's bearer token");
-ABSL_FLAG(double, timeout, 10, "seconds to wait for an answer");
-ABSL_FLAG(std::int64_t, expect, -1, "version that the change expects");
+ABSL_FLAG(double, timeout, 10, "seconds to wait for a response");
+ABSL_FLAG(std::int64_t, expect, -1, "version that apply or patch expects; -1: the one read just before");
 
 using namespace herontally;
 
-static std::vector<std::string> split(const std::string& text, const char* flag) {
+// Splits a comma-separated list of addresses. Ends the process with exit code 2 if one is invalid.
+static std::vector<std::string> split_addresses(const std::string& text, const char* flag) {
   std::vector<std::string> parts;
   for (std::size_t begin = 0; begin < text.size();) {
     auto end = std::min(text.find(',', begin), text.size());
@@ -24,30 +26,30 @@
   return parts;
 }
 
-int main(int count, char** arguments) {
-  auto rest = settings::parse_flags(count, arguments, herontallyctl::help());
-  if (rest.empty()) settings::end_with("herontallyctl", {"COMMAND", "is missing; see --help"});
-  herontallyctl::setting given;
-  given.cores = split(absl::GetFlag(FLAGS_core), "--core");
-  given.proxies = split(absl::GetFlag(FLAGS_proxy), "--proxy");
-  given.token = absl::GetFlag(FLAGS_token);
-  given.timeout_seconds = absl::GetFlag(FLAGS_timeout);
-  if (given.timeout_seconds <= 0 || given.timeout_seconds > 600)
-    settings::end_with("herontallyctl", {"--timeout", "must be from 0 to 600 seconds"});
-  if (given.cores.empty() && rest[0] != "ledger")
+int main(int argument_count, char** arguments) {
+  auto positional = settings::parse_flags(argument_count, arguments, herontallyctl::help());
+  if (positional.empty()) settings::end_with("herontallyctl", {"COMMAND", "is missing; see --help"});
+  herontallyctl::client_options options;
+  options.cores = split_addresses(absl::GetFlag(FLAGS_core), "--core");
+  options.proxies = split_addresses(absl::GetFlag(FLAGS_proxy), "--proxy");
+  options.token = absl::GetFlag(FLAGS_token);
+  options.timeout_seconds = absl::GetFlag(FLAGS_timeout);
+  if (options.timeout_seconds <= 0 || options.timeout_seconds > 600)
+    settings::end_with("herontallyctl", {"--timeout", "must be above 0 and at most 600 seconds"});
+  if (options.cores.empty() && positional[0] != "ledger")
     settings::end_with("herontallyctl", {"--core", "is missing"});
   if (absl::GetFlag(FLAGS_expect) >= 0) {
-    rest.push_back("expect");
-    rest.push_back(std::to_string(absl::GetFlag(FLAGS_expect)));
+    positional.push_back("expect");
+    positional.push_back(std::to_string(absl::GetFlag(FLAGS_expect)));
   }
   runtime::event_loop loop("");
   int code = 0;
-  auto work = [](runtime::event_loop* owner, herontallyctl::setting given, std::vector<std::string> rest,
-                 int* result) -> runtime::task<> {
-    *result = co_await herontallyctl::run(owner->runtime(), given, rest);
+  auto run_command = [](runtime::event_loop* owner, herontallyctl::client_options options,
+                        std::vector<std::string> positional, int* result) -> runtime::task<> {
+    *result = co_await herontallyctl::run(owner->runtime(), options, positional);
     owner->stop();
   };
-  loop.runtime().spawn(work(&loop, given, rest, &code));
+  loop.runtime().spawn(run_command(&loop, options, positional, &code));
   loop.run();
   loop.runtime().stop();
   return code;
