--- a/tools/fleetlib.py
+++ b/tools/fleetlib.py
@@ -1,19 +1,21 @@
-"""What tools/fleet is made of: the processes of one fleet, their settings, signals and pages."""
+"""The processes of one fleet on loopback: addresses, settings files, start and stop, signals and HTTP requests.
+
+Used by tools/fleet and by the soak tests."""
 import json, os, random, signal, socket, subprocess, sys, time, urllib.error, urllib.request
 
 
 TOKEN = "fleet-operator-token"
-# The product's own programs, named as their executables; the others are stand-ins.
+# Roles run by the product's programs; a role has the name of its executable. All other roles are stand-ins.
 PRODUCT_ROLES = ("control_node", "storage_node", "agent", "proxy")
 
 
-def own_host():
-    # A loopback address of the fleet's own: neither another fleet nor an outgoing connection takes ports there.
+def random_loopback_host():
+    # A loopback address used by this fleet alone, so that neither another fleet nor an outgoing connection takes its ports.
     return "127.%d.%d.%d" % (random.randrange(1, 255), random.randrange(256), random.randrange(1, 255))
 
 
 def is_free(host, port):
-    # Whoever listens on all addresses has this one too.
+    # Also false if another process listens on all addresses.
     with socket.socket() as probe:
         try:
             probe.bind((host, port))
@@ -23,6 +25,8 @@
 
 
 class Fleet:
+    """A fleet whose state is kept in fleet.json in its folder; `state` is None until the fleet is created."""
+
     def __init__(self, folder, build):
         self.folder, self.build = os.path.abspath(folder), os.path.abspath(build)
         self.file = os.path.join(self.folder, "fleet.json")
@@ -34,6 +38,7 @@
         os.replace(self.file + ".new", self.file)
 
     def need(self):
+        """The state; ends the program if there is no fleet."""
         if not self.state:
             sys.exit("fleet: no fleet in %s; run `tools/fleet up` first" % self.folder)
         return self.state
@@ -44,9 +49,9 @@
         return self.state["nodes"][name]
 
     def next_address(self):
-        # Counted on and kept, also those of processes that are down or not yet started: only a port that was never
-        # given before is sure to have no other owner.
-        host = self.state.setdefault("host", own_host())
+        # Ports are counted up and never reused, even if their process is down or not yet started: only a port that was
+        # never assigned before is certain to have no other owner.
+        host = self.state.setdefault("host", random_loopback_host())
         port = self.state.get("last_port", 11999) + 1
         while not is_free(host, port):
             port += 1
@@ -90,20 +95,23 @@
         log = open(os.path.join(self.folder, "logs", node["name"] + ".log"), "ab")
         process = subprocess.Popen(command, stdin=subprocess.DEVNULL, stdout=log, stderr=log, start_new_session=True)
         node["pid"] = process.pid
-        # A number may be given to another process later; its time of birth tells them apart.
+        # The system may reuse the process id; the start time tells the two processes apart.
         node["born"] = birth(process.pid)
         self.save()
 
     def alive(self, node):
+        """Whether the node's process runs or still holds its ports."""
         return node["pid"] and birth(node["pid"]) == node.get("born") and not ended(node["pid"])
 
     def signal(self, node, number):
+        """Sends a signal. Returns False if the process is not alive."""
         if not self.alive(node):
             return False
         os.kill(node["pid"], number)
         return True
 
     def stop(self, nodes, number, timeout):
+        """Sends a signal to all nodes, then SIGKILL to those that are alive after `timeout` seconds, and waits."""
         for node in nodes:
             self.signal(node, number)
         until = time.time() + timeout
@@ -111,12 +119,13 @@
             time.sleep(0.02)
         for node in nodes:
             self.signal(node, signal.SIGKILL)
-        # Nobody withstands this one; on a busy machine it may take a while all the same.
+        # SIGKILL can't be ignored, but on a busy machine the process may take a while to end.
         while any(self.alive(node) for node in nodes):
             time.sleep(0.02)
 
 
 def birth(pid):
+    """The process's start time in clock ticks since boot, as text; None if there is no such process."""
     try:
         return open("/proc/%d/stat" % pid).read().rsplit(")", 1)[1].split()[19]
     except OSError:
@@ -124,7 +133,7 @@
 
 
 def ended(pid):
-    # A process whose first thread is a zombie still holds its ports until its last thread has ended too.
+    # A process whose main thread is a zombie still holds its ports until its last thread has ended.
     try:
         state = open("/proc/%d/stat" % pid).read().rsplit(")", 1)[1].split()[0]
         return state == "Z" and len(os.listdir("/proc/%d/task" % pid)) == 1
@@ -133,6 +142,7 @@
 
 
 def get(address, path, timeout=2):
+    """Status and body of a GET request; status 0 without a response. `timeout` is in seconds."""
     try:
         with urllib.request.urlopen("http://%s%s" % (address, path), timeout=timeout) as reply:
             return reply.status, reply.read().decode()
@@ -149,6 +159,7 @@
 
 
 def wait_for(what, check, timeout):
+    """Checks every 100 ms. Ends the program if the check fails for `timeout` seconds."""
     until = time.time() + timeout
     while time.time() < until:
         if check():
