--- a/src/simulator/site_operators.cc
+++ b/src/simulator/site_operators.cc
@@ -1,36 +1,37 @@
-// The operators' side of a simulated site.
+// Parts of simulator::site that act as operators: the configuration documents, commands to cores (apply,
+// evacuate, retire) and the polling of reported revisions.
 #include "simulator/site_state.h"
 
 namespace simulator {
 
 offered_state site::offered(std::int64_t marker) const {
-  auto& choice = state_->choice;
+  auto& options = state_->options;
   offered_state next;
   next.marker = marker;
-  next.prefix = "state " + std::to_string(marker) + " . " + choice.prefix_text;
-  next.keep_seconds = choice.keep_seconds + choice.keep_growth * (marker % 3);
-  next.pulls = !choice.min_cached_token_delta.is_null() && !(choice.vary && marker % 4 == 3);
-  if (choice.vary && marker % 4 == 2) next.idle_zone = "zone-c";
+  next.prefix = "state " + std::to_string(marker) + " . " + options.prefix_text;
+  next.keep_seconds = options.keep_seconds + options.keep_growth * (marker % 3);
+  next.pulls = !options.min_cached_token_delta.is_null() && !(options.vary && marker % 4 == 3);
+  if (options.vary && marker % 4 == 2) next.idle_zone = "zone-c";
   return next;
 }
 
 json site::document(std::int64_t marker) const {
-  auto& choice = state_->choice;
+  auto& options = state_->options;
   auto offer = offered(marker);
-  json model{{"weights", choice.weights},
+  json model{{"weights", options.weights},
              {"block_tokens", 16},
              {"hash_seed", "seed"},
-             {"minCachedTokenDelta", offer.pulls ? choice.min_cached_token_delta : json(nullptr)},
+             {"minCachedTokenDelta", offer.pulls ? options.min_cached_token_delta : json(nullptr)},
              {"near_tie_tokens", 32},
              {"pull_seconds", 0.5},
-             {"turns_per_engine", choice.turns_per_engine},
-             {"warm_seconds", choice.warm_seconds},
-             {"cold_turns", choice.cold_turns}};
-  auto budget = choice.budget_tokens + choice.budget_growth * std::min<std::int64_t>(marker, 20);
-  json table{{"prefix_preference", choice.prefix_preference}};
+             {"turns_per_engine", options.turns_per_engine},
+             {"warm_seconds", options.warm_seconds},
+             {"cold_turns", options.cold_turns}};
+  auto budget = options.budget_tokens + options.budget_growth * std::min<std::int64_t>(marker, 20);
+  json table{{"prefix_preference", options.prefix_preference}};
   if (!offer.idle_zone.empty()) table["zone_weights"] = {{offer.idle_zone, 0}};
   json partners;
-  for (auto& each : choice.partners) {
+  for (auto& each : options.partners) {
     json program{{"model", each.model},          {"table", "t"},
                  {"budget_tokens", budget},      {"turn_tokens", 64},
                  {"turn_seconds", 20},           {"keep_seconds", offer.keep_seconds},
@@ -41,7 +42,7 @@
         routes[name] = {{"application", each.application},
                         {"path", "/v1/work/" + std::to_string(marker)},
                         {"effectful", kind == &each.effectful},
-                        {"receipt_seconds", choice.receipt_seconds},
+                        {"receipt_seconds", options.receipt_seconds},
                         {"timeout_seconds", 4}};
         if (kind == &each.effectful) routes[name]["outcome_path"] = "/v1/outcome";
       }
@@ -55,7 +56,7 @@
   json shared{
       {"evacuated_zones", state_->evacuated},
       {"limits",
-       {{"requests_per_client", 100000}, {"client_buffer_kilobytes", choice.client_buffer_kilobytes}}}};
+       {{"requests_per_client", 100000}, {"client_buffer_kilobytes", options.client_buffer_kilobytes}}}};
   return {{"shared", shared}, {"partners", partners}};
 }
 
@@ -68,7 +69,7 @@
   request.headers["Authorization"] = std::string("Bearer ") + operator_token;
   if (!expected.empty()) request.headers["If-Match"] = expected;
   auto runtime = callers();
-  auto outcome = co_await rt::http_fetch(runtime, state_->places.at(core).http, request, 9 * rt::second);
+  auto outcome = co_await rt::http_fetch(runtime, state_->machines.at(core).http, request, 9 * rt::second);
   operator_response response;
   if (auto* answer = std::get_if<rt::http_response>(&outcome)) {
     response.status = answer->status;
@@ -82,15 +83,16 @@
   if (now.status != 200 || !now.body.is_object()) co_return false;
   std::int64_t marker = state_->next_marker++;
   json next = document(marker);
-  // The zones and retirements stay as the state has them; they are changed by calls of their own.
+  // Evacuated zones and retirements stay as they are in the configuration; change_zone() and retire() change
+  // them.
   for (auto* field : {"evacuated_zones", "retiring_storage"})
     if (now.body["desired"]["shared"].contains(field))
       next["shared"][field] = now.body["desired"]["shared"][field];
-  state_->judge.offer(offered(marker));
+  state_->sim_oracle.offer(offered(marker));
   auto result =
       co_await operate(core, "PUT", "/v1/desired", next.dump(), std::to_string(now.body.value("version", 0)));
   if (result.status == 200)
-    state_->judge.acknowledged(marker, result.body.value("revision", std::int64_t{0}));
+    state_->sim_oracle.acknowledged(marker, result.body.value("revision", std::int64_t{0}));
   co_return result.status == 200;
 }
 
@@ -106,18 +108,19 @@
 rt::task<> site::change_zone(std::string zone, bool evacuate) {
   auto cores = of_role("control_node");
   for (int attempt = 0; attempt < 10; ++attempt) {
-    auto asked = state_->where.now();
-    // An order to begin may still be under way and be acknowledged between two orders to end.
-    if (!evacuate) state_->judge.evacuation_ending(zone);
+    auto asked = state_->sim_world.now();
+    // An earlier command to begin may still be under way and be acknowledged between two attempts to end the
+    // evacuation.
+    if (!evacuate) state_->sim_oracle.evacuation_ending(zone);
     auto result = co_await operate(cores[static_cast<std::size_t>(attempt) % cores.size()],
                                    evacuate ? "PUT" : "DELETE", "/v1/zones/" + zone + "/evacuation", "", "");
     if (result.status == 200) {
       auto revision = result.body.value("revision", std::int64_t{0});
       if (evacuate)
-        state_->judge.evacuation_begun(zone, asked, revision);
+        state_->sim_oracle.evacuation_begun(zone, asked, revision);
       else
-        state_->judge.evacuation_ended(zone, revision);
-      state_->judge.acknowledged(0, revision);
+        state_->sim_oracle.evacuation_ended(zone, revision);
+      state_->sim_oracle.acknowledged(0, revision);
       co_return;
     }
     co_await callers().sleep(300 * rt::millisecond);
@@ -130,9 +133,10 @@
     auto cores = of_role("control_node");
     auto core = cores[static_cast<std::size_t>(attempt) % cores.size()];
     auto begun = co_await operate(core, "PUT", "/v1/storage/" + node + "/retirement", "", "");
-    // 409: it is under way already.
+    // 409: the retirement is under way already.
     bool under_way = begun.status == 200 || begun.status == 409;
-    if (begun.status == 200) state_->judge.acknowledged(0, begun.body.value("revision", std::int64_t{0}));
+    if (begun.status == 200)
+      state_->sim_oracle.acknowledged(0, begun.body.value("revision", std::int64_t{0}));
     if (under_way) {
       auto end = co_await operate(core, "DELETE", "/v1/storage/" + node + "/retirement", "", "");
       if (end.status == 200) co_return true;
@@ -144,22 +148,23 @@
 
 rt::task<> site::watch_forever() {
   auto runtime = callers();
-  auto look = [](site* own, std::string name, std::string address, std::string path) -> rt::task<> {
-    auto asked = own->where().now();
+  auto poll = [](site* owner, std::string name, std::string address, std::string path) -> rt::task<> {
+    auto asked = owner->where().now();
     rt::http_request request;
     request.path = path;
     request.headers["Authorization"] = std::string("Bearer ") + operator_token;
-    auto outcome = co_await rt::http_fetch(own->callers(), address, request, 2 * rt::second);
+    auto outcome = co_await rt::http_fetch(owner->callers(), address, request, 2 * rt::second);
     auto* answer = std::get_if<rt::http_response>(&outcome);
     auto body = answer && answer->status == 200 ? json::parse(answer->body, nullptr, false) : json();
-    // A node that was restarted meanwhile may have answered in its earlier life: what it said stands.
+    // The answer counts even if the node was restarted meanwhile and the answer came from the earlier
+    // process.
     if (body.is_object() && body.contains("revision"))
-      own->state_->judge.revision_seen(name, body["revision"], asked);
+      owner->state_->sim_oracle.revision_seen(name, body["revision"], asked);
   };
   while (true) {
     for (auto* role : {"proxy", "agent", "control_node"})
       for (auto& name : of_role(role))
-        runtime.spawn(look(this, name, state_->places.at(name).http,
+        runtime.spawn(poll(this, name, state_->machines.at(name).http,
                            role == std::string("control_node") ? "/v1/desired" : "/readyz"));
     co_await runtime.sleep(500 * rt::millisecond +
                            static_cast<microseconds>(runtime.draw(300 * rt::millisecond)));
