--- a/src/simulator/site.cc
+++ b/src/simulator/site.cc
@@ -75,7 +75,7 @@
 ht::logging::logger site::state::make_logger(const std::string& name) {
   auto* watcher = &sim_oracle;
   return ht::logging::logger(name, [watcher](const std::string&, const json& line) {
-    if (line["event"] == "engine leaves") watcher->leaving_learned(line["engine"]);
+    if (line["event"] == "engine leaves") watcher->engine_known_leaving(line["engine"]);
   });
 }
 
@@ -123,14 +123,14 @@
   co_await started->start();
 }
 
-engine_facts site::state::engine_info_of(const machine_entry& entry) const {
-  engine_facts facts{entry.name, entry.zone, entry.engine.weights, entry.engine.kind};
-  facts.block_tokens = entry.engine.block_tokens;
+engine_info site::state::engine_info_of(const machine_entry& entry) const {
+  engine_info info{entry.name, entry.zone, entry.engine.weights, entry.engine.kind};
+  info.block_tokens = entry.engine.block_tokens;
   bool model = entry.engine.kind == "model";
-  facts.slow_start_concurrent = model ? options.cold_turns : 1;
-  facts.max_concurrent = model ? options.turns_per_engine : 16;
-  facts.warm_seconds = model ? options.warm_seconds : 1;
-  return facts;
+  info.slow_start_concurrent = model ? options.cold_turns : 1;
+  info.max_concurrent = model ? options.turns_per_engine : 16;
+  info.warm_seconds = model ? options.warm_seconds : 1;
+  return info;
 }
 
 std::shared_ptr<ht::engine_stand_in::node> site::state::start_engine(const machine_entry& entry) {
@@ -138,14 +138,14 @@
   auto node =
       std::make_shared<ht::engine_stand_in::node>(sim_world.runtime_of(name), entry.engine, entry.logger);
   node->on_run([this, name](const ht::engine_stand_in::run& what) {
-    sim_oracle.engine_ran(name, what);
+    sim_oracle.engine_event(name, what);
     auto trap = engine_event_actions.find(what.what);
     if (trap == engine_event_actions.end()) return;
     // Runs as an event of its own: the action may kill the engine, whose code is still on the stack here.
     sim_world.at(sim_world.now(), [action = std::move(trap->second), name] { action(name); });
     engine_event_actions.erase(trap);
   });
-  sim_oracle.engine_begins(engine_info_of(entry));
+  sim_oracle.engine_started(engine_info_of(entry));
   sim_world.runtime_of(name).spawn(start_and_ignore_result(node));
   return node;
 }
@@ -228,7 +228,7 @@
   boot_all();
   for (auto& partner : self.options.partners)
     for (auto& kind : {partner.quick, partner.slow})
-      self.sim_oracle.budget(kind, self.options.budget_tokens + self.options.budget_growth * 20, 64);
+      self.sim_oracle.set_budget(kind, self.options.budget_tokens + self.options.budget_growth * 20, 64);
   bool begun = false, applied = false;
   json groups{{"core", json::array()}, {"store", json::array()}};
   for (auto& [name, entry] : self.machines) {
--- a/src/simulator/site.h
+++ b/src/simulator/site.h
@@ -97,7 +97,7 @@
   // The configuration document of this marker: its shared prefixes and route paths contain the marker.
   nlohmann::json document(std::int64_t marker) const;
   // What clients and engines can observe of that configuration.
-  offered_state offered(std::int64_t marker) const;
+  observable_config observable_config_of(std::int64_t marker) const;
   // Sends an operator's request to a core; `expected` is the value of If-Match, none if empty. Times out
   // after 9 s.
   herontally::runtime::task<operator_response> operate(std::string core, std::string method, std::string path,
--- a/src/simulator/site_operators.cc
+++ b/src/simulator/site_operators.cc
@@ -4,24 +4,24 @@
 
 namespace simulator {
 
-offered_state site::offered(std::int64_t marker) const {
+observable_config site::observable_config_of(std::int64_t marker) const {
   auto& options = state_->options;
-  offered_state next;
+  observable_config next;
   next.marker = marker;
   next.prefix = "state " + std::to_string(marker) + " . " + options.prefix_text;
   next.keep_seconds = options.keep_seconds + options.keep_growth * (marker % 3);
   next.pulls = !options.min_cached_token_delta.is_null() && !(options.vary && marker % 4 == 3);
-  if (options.vary && marker % 4 == 2) next.idle_zone = "zone-c";
+  if (options.vary && marker % 4 == 2) next.zero_weight_zone = "zone-c";
   return next;
 }
 
 json site::document(std::int64_t marker) const {
   auto& options = state_->options;
-  auto offer = offered(marker);
+  auto observable = observable_config_of(marker);
   json model{{"weights", options.weights},
              {"block_tokens", 16},
              {"hash_seed", "seed"},
-             {"minCachedTokenDelta", offer.pulls ? options.min_cached_token_delta : json(nullptr)},
+             {"minCachedTokenDelta", observable.pulls ? options.min_cached_token_delta : json(nullptr)},
              {"near_tie_tokens", 32},
              {"pull_seconds", 0.5},
              {"turns_per_engine", options.turns_per_engine},
@@ -29,13 +29,16 @@
              {"cold_turns", options.cold_turns}};
   auto budget = options.budget_tokens + options.budget_growth * std::min<std::int64_t>(marker, 20);
   json table{{"prefix_preference", options.prefix_preference}};
-  if (!offer.idle_zone.empty()) table["zone_weights"] = {{offer.idle_zone, 0}};
+  if (!observable.zero_weight_zone.empty()) table["zone_weights"] = {{observable.zero_weight_zone, 0}};
   json partners;
   for (auto& each : options.partners) {
-    json program{{"model", each.model},          {"table", "t"},
-                 {"budget_tokens", budget},      {"turn_tokens", 64},
-                 {"turn_seconds", 20},           {"keep_seconds", offer.keep_seconds},
-                 {"shared_prefix", offer.prefix}};
+    json program{{"model", each.model},
+                 {"table", "t"},
+                 {"budget_tokens", budget},
+                 {"turn_tokens", 64},
+                 {"turn_seconds", 20},
+                 {"keep_seconds", observable.keep_seconds},
+                 {"shared_prefix", observable.prefix}};
     json routes;
     for (auto* kind : {&each.effectful, &each.plain})
       for (auto& name : *kind) {
@@ -88,11 +91,11 @@
   for (auto* field : {"evacuated_zones", "retiring_storage"})
     if (now.body["desired"]["shared"].contains(field))
       next["shared"][field] = now.body["desired"]["shared"][field];
-  state_->sim_oracle.offer(offered(marker));
+  state_->sim_oracle.config_offered(observable_config_of(marker));
   auto result =
       co_await operate(core, "PUT", "/v1/desired", next.dump(), std::to_string(now.body.value("version", 0)));
   if (result.status == 200)
-    state_->sim_oracle.acknowledged(marker, result.body.value("revision", std::int64_t{0}));
+    state_->sim_oracle.config_acknowledged(marker, result.body.value("revision", std::int64_t{0}));
   co_return result.status == 200;
 }
 
@@ -120,7 +123,7 @@
         state_->sim_oracle.evacuation_begun(zone, asked, revision);
       else
         state_->sim_oracle.evacuation_ended(zone, revision);
-      state_->sim_oracle.acknowledged(0, revision);
+      state_->sim_oracle.config_acknowledged(0, revision);
       co_return;
     }
     co_await callers().sleep(300 * rt::millisecond);
@@ -136,7 +139,7 @@
     // 409: the retirement is under way already.
     bool under_way = begun.status == 200 || begun.status == 409;
     if (begun.status == 200)
-      state_->sim_oracle.acknowledged(0, begun.body.value("revision", std::int64_t{0}));
+      state_->sim_oracle.config_acknowledged(0, begun.body.value("revision", std::int64_t{0}));
     if (under_way) {
       auto end = co_await operate(core, "DELETE", "/v1/storage/" + node + "/retirement", "", "");
       if (end.status == 200) co_return true;
@@ -159,7 +162,7 @@
     // The answer counts even if the node was restarted meanwhile and the answer came from the earlier
     // process.
     if (body.is_object() && body.contains("revision"))
-      owner->state_->sim_oracle.revision_seen(name, body["revision"], asked);
+      owner->state_->sim_oracle.revision_reported(name, body["revision"], asked);
   };
   while (true) {
     for (auto* role : {"proxy", "agent", "control_node"})
--- a/src/simulator/site_state.h
+++ b/src/simulator/site_state.h
@@ -54,7 +54,7 @@
   ht::logging::logger make_logger(const std::string& name);
   template <class Node>
   std::shared_ptr<Node> start_node(const machine_entry& entry);
-  engine_facts engine_info_of(const machine_entry& entry) const;
+  engine_info engine_info_of(const machine_entry& entry) const;
   std::shared_ptr<ht::engine_stand_in::node> start_engine(const machine_entry& entry);
   std::shared_ptr<ht::platform_stand_in::node> start_platform(const machine_entry& entry);
 };
