--- a/src/simulator/control_oracle.cc
+++ b/src/simulator/control_oracle.cc
@@ -16,47 +16,48 @@
 
 namespace {
 
-constexpr microseconds look_period = 250 * rt::millisecond;
-// A disk that takes longer for a sync than this counts as in trouble.
-constexpr microseconds longest_calm_sync = 20 * rt::millisecond;
+constexpr microseconds inspection_period = 250 * rt::millisecond;
+// A disk whose syncs take longer counts as unhealthy.
+constexpr microseconds max_healthy_sync_time = 20 * rt::millisecond;
 
-bool is_disk_well(const sim_disk& disk) {
+bool is_disk_healthy(const sim_disk& disk) {
   return !disk.full && !disk.failing && !disk.crashed && disk.crash_after < 0 &&
-         disk.sync_time <= longest_calm_sync;
+         disk.sync_time <= max_healthy_sync_time;
 }
 
-// A machine as it is now; `voter` is null while its process hasn't opened its disk or isn't well.
-struct machine_seen {
+// A machine at the time of an inspection. `voter` is null while its process hasn't opened its disk, or while
+// the machine isn't healthy (see is_healthy).
+struct machine_snapshot {
   std::string name;
   std::uint64_t life = 0;
   const struct voter* voter = nullptr;
-  bool operator==(const machine_seen& other) const {
+  bool operator==(const machine_snapshot& other) const {
     return name == other.name && life == other.life && (voter == nullptr) == (other.voter == nullptr);
   }
 };
-using machines_seen = std::vector<machine_seen>;
+using machine_snapshots = std::vector<machine_snapshot>;
 
-const machine_seen* find(const machines_seen& machines, const std::string& name) {
+const machine_snapshot* find(const machine_snapshots& machines, const std::string& name) {
   for (auto& each : machines)
     if (each.name == name) return &each;
   return nullptr;
 }
 
 // Whether the voter runs under the identity and the view that the group has agreed on.
-bool is_present(const machines_seen& machines, const view& agreed, const voter_info& place) {
-  auto* machine = find(machines, place.node);
-  return machine && machine->voter && machine->voter->id() == place.id &&
+bool is_present(const machine_snapshots& machines, const view& agreed, const voter_info& member) {
+  auto* machine = find(machines, member.node);
+  return machine && machine->voter && machine->voter->id() == member.id &&
          machine->voter->current_view().number == agreed.number;
 }
 
-view newest_view(const machines_seen& machines) {
+view newest_view(const machine_snapshots& machines) {
   view newest;
   for (auto& each : machines)
     if (each.voter && each.voter->current_view().number > newest.number) newest = each.voter->current_view();
   return newest;
 }
 
-bool has_quorum(const machines_seen& machines) {
+bool has_quorum(const machine_snapshots& machines) {
   auto newest = newest_view(machines);
   return newest.quorum([&](const std::string& id) {
     return std::any_of(machines.begin(), machines.end(),
@@ -64,30 +65,30 @@
   });
 }
 
-bool all_well(const machines_seen& machines) {
+bool all_healthy(const machine_snapshots& machines) {
   return std::all_of(machines.begin(), machines.end(), [](auto& each) { return each.voter != nullptr; });
 }
 
-// What the group lacks; empty if it is whole.
-std::string shortfall(const machines_seen& machines, const ht::control_node::loss_budget& budget) {
+// Why the group isn't whole; empty if it is.
+std::string group_defect(const machine_snapshots& machines, const ht::control_node::loss_budget& budget) {
   auto agreed = newest_view(machines);
   if (!has_quorum(machines)) return "it has no quorum";
   std::string number = "view " + std::to_string(agreed.number);
-  if (agreed.joint()) return number + " is a joint one";
-  std::size_t present = 0, well = 0;
+  if (agreed.joint()) return number + " is joint";
+  std::size_t present = 0, healthy = 0;
   std::string lost;
-  for (auto& each : machines) well += each.voter ? 1 : 0;
-  for (auto& place : agreed.voters) {
-    bool here = is_present(machines, agreed, place);
+  for (auto& each : machines) healthy += each.voter ? 1 : 0;
+  for (auto& member : agreed.voters) {
+    bool here = is_present(machines, agreed, member);
     present += here ? 1 : 0;
-    if (!here) lost += " " + place.node;
+    if (!here) lost += " " + member.node;
   }
-  bool spare = well > present;
-  if (!lost.empty() && spare) return number + " lacks" + lost;
+  bool has_spare = healthy > present;
+  if (!lost.empty() && has_spare) return number + " lacks" + lost;
   auto lacking = ht::control_node::shortfall_of(agreed.voters, budget);
-  // With every machine well the group is as large as it will ever be.
-  bool complete = all_well(machines);
-  if (lacking.voters > 0 && (well >= budget.voters() || complete))
+  // With every machine healthy the group can't grow any further.
+  bool complete = all_healthy(machines);
+  if (lacking.voters > 0 && (healthy >= budget.voters() || complete))
     return number + " has " + std::to_string(agreed.voters.size()) + " voters of " +
            std::to_string(budget.voters());
   if (lacking.crowded > 0 && complete)
@@ -98,61 +99,64 @@
 }  // namespace
 
 struct control_oracle::state : std::enable_shared_from_this<control_oracle::state> {
-  world& where;
+  world& sim_world;
   watched_site site;
-  machines_seen cores, stores;
-  microseconds calm_since = 0;                       // since when no machine went or came
-  std::map<std::string, microseconds> short_since;   // by group; -1: it is whole
-  std::map<std::string, std::int64_t> newest_epoch;  // by role
-  // Owners under a superseded epoch, by node, life, role and epoch.
+  machine_snapshots cores, stores;
+  microseconds stable_since = 0;  // the last time a machine failed or returned, or a quorum was missing
+  std::map<std::string, microseconds> incomplete_since;  // by group; -1: it is whole
+  std::map<std::string, std::int64_t> newest_epoch;      // by role
+  // Owners under a superseded epoch, by node, process, role and epoch: since when.
   std::map<std::string, microseconds> superseded_since;
 
-  state(world& world_of, watched_site of) : where(world_of), site(std::move(of)) {}
+  state(world& world_of, watched_site of) : sim_world(world_of), site(std::move(of)) {}
 
-  bool is_well(const std::string& name, const std::vector<std::string>& all) const {
-    auto& machine = where.find(name);
-    bool reached = std::none_of(all.begin(), all.end(), [&](auto& other) {
-      return where.is_cut(name, other) || where.is_cut(other, name);
+  bool is_healthy(const std::string& name, const std::vector<std::string>& all) const {
+    auto& machine = sim_world.find(name);
+    bool reachable = std::none_of(all.begin(), all.end(), [&](auto& other) {
+      return sim_world.is_cut(name, other) || sim_world.is_cut(other, name);
     });
-    return machine.up && !machine.frozen && machine.node.has_value() && reached && is_disk_well(machine.disk);
+    return machine.up && !machine.frozen && machine.node.has_value() && reachable &&
+           is_disk_healthy(machine.disk);
   }
   template <class Node>
-  machines_seen look_at(const std::vector<std::string>& names, const std::vector<std::string>& all) const {
-    machines_seen seen;
+  machine_snapshots snapshot_of(const std::vector<std::string>& names,
+                                const std::vector<std::string>& all) const {
+    machine_snapshots seen;
     for (auto& name : names) {
-      auto& machine = where.find(name);
-      auto* node = is_well(name, all) ? std::any_cast<std::shared_ptr<Node>>(&machine.node) : nullptr;
+      auto& machine = sim_world.find(name);
+      auto* node = is_healthy(name, all) ? std::any_cast<std::shared_ptr<Node>>(&machine.node) : nullptr;
       bool opened = node && !(*node)->voter().id().empty();
       seen.push_back({name, machine.life, opened ? &(*node)->voter() : nullptr});
     }
     return seen;
   }
-  void look();
-  static void look_forever(world& where, std::weak_ptr<state> weak);
-  void judge_group(const std::string& group, const machines_seen& machines);
-  void judge_roles();
-  void judge_owner(const machine_seen& core, const ht::singleton::role_status& role);
+  void inspect();
+  static void inspect_periodically(world& sim_world, std::weak_ptr<state> weak);
+  void check_group(const std::string& group, const machine_snapshots& machines);
+  void check_roles();
+  void check_owner(const machine_snapshot& core, const ht::singleton::role_status& role);
 };
 
-void control_oracle::state::judge_group(const std::string& group, const machines_seen& machines) {
-  auto lacking = shortfall(machines, site.budget);
-  auto& since = short_since.try_emplace(group, -1).first->second;
-  if (lacking.empty()) {
+void control_oracle::state::check_group(const std::string& group, const machine_snapshots& machines) {
+  auto defect = group_defect(machines, site.budget);
+  auto& since = incomplete_since.try_emplace(group, -1).first->second;
+  if (defect.empty()) {
     since = -1;
     return;
   }
-  if (since < calm_since) since = where.now();
-  if (where.now() - since <= ht::control_node::repair_bound()) return;
+  if (since < stable_since) since = sim_world.now();
+  if (sim_world.now() - since <= ht::control_node::repair_bound()) return;
   site.report("WHOLE", "group " + group + " isn't whole after " +
-                           std::to_string((where.now() - since) / rt::millisecond) + " ms: " + lacking);
-  // Once for each bound.
-  since = where.now();
+                           std::to_string((sim_world.now() - since) / rt::millisecond) + " ms: " + defect);
+  // Reports again only after another repair bound.
+  since = sim_world.now();
 }
 
-void control_oracle::state::judge_owner(const machine_seen& core, const ht::singleton::role_status& role) {
+void control_oracle::state::check_owner(const machine_snapshot& core,
+                                        const ht::singleton::role_status& role) {
   auto key = core.name + "/" + std::to_string(core.life) + "/" + role.role + "/" + std::to_string(role.epoch);
   if (role.owned && role.refused)
-    site.report("ROLE", core.name + " goes on in the role " + role.role + " under epoch " +
+    site.report("ROLE", core.name + " continues in the role " + role.role + " under epoch " +
                             std::to_string(role.epoch) + ", which was refused");
   auto& newest = newest_epoch[role.role];
   newest = std::max(newest, role.epoch);
@@ -160,50 +164,53 @@
     superseded_since.erase(key);
     return;
   }
-  auto& since = superseded_since.try_emplace(key, where.now()).first->second;
-  since = std::max(since, calm_since);
-  if (where.now() - since <= ht::control_node::supersession_bound()) return;
-  site.report("ROLE", core.name + " goes on in the role " + role.role + " under epoch " +
-                          std::to_string(role.epoch) + " though " + std::to_string(newest) + " was claimed");
-  since = where.now();
+  auto& since = superseded_since.try_emplace(key, sim_world.now()).first->second;
+  since = std::max(since, stable_since);
+  if (sim_world.now() - since <= ht::control_node::supersession_bound()) return;
+  site.report("ROLE", core.name + " continues in the role " + role.role + " under epoch " +
+                          std::to_string(role.epoch) + " although " + std::to_string(newest) +
+                          " was claimed");
+  since = sim_world.now();
 }
 
-void control_oracle::state::judge_roles() {
+void control_oracle::state::check_roles() {
   for (auto& core : cores) {
     if (!core.voter) continue;
-    auto node = std::any_cast<std::shared_ptr<ht::control_node::node>>(where.find(core.name).node);
-    for (auto& role : node->roles()) judge_owner(core, role);
+    auto node = std::any_cast<std::shared_ptr<ht::control_node::node>>(sim_world.find(core.name).node);
+    for (auto& role : node->roles()) check_owner(core, role);
   }
 }
 
-void control_oracle::state::look() {
+void control_oracle::state::inspect() {
   auto core_names = site.cores(), store_names = site.stores();
   auto all = core_names;
   all.insert(all.end(), store_names.begin(), store_names.end());
-  auto seen_cores = look_at<ht::control_node::node>(core_names, all);
-  auto seen_stores = look_at<ht::storage_node::node>(store_names, all);
-  bool calm = seen_cores == cores && seen_stores == stores;
-  cores = std::move(seen_cores);
-  stores = std::move(seen_stores);
-  // A quorum that is missing while every machine is up and in touch is lost for good.
-  bool enough = (has_quorum(cores) || all_well(cores)) && (has_quorum(stores) || all_well(stores));
-  if (!calm || !enough) calm_since = where.now();
-  judge_group("core", cores);
-  judge_group("store", stores);
-  judge_roles();
+  auto current_cores = snapshot_of<ht::control_node::node>(core_names, all);
+  auto current_stores = snapshot_of<ht::storage_node::node>(store_names, all);
+  bool stable = current_cores == cores && current_stores == stores;
+  cores = std::move(current_cores);
+  stores = std::move(current_stores);
+  // A quorum that is missing while every machine is healthy won't come back, so that it doesn't restart the
+  // repair time.
+  bool enough = (has_quorum(cores) || all_healthy(cores)) && (has_quorum(stores) || all_healthy(stores));
+  if (!stable || !enough) stable_since = sim_world.now();
+  check_group("core", cores);
+  check_group("store", stores);
+  check_roles();
 }
 
-control_oracle::control_oracle(world& where, watched_site site)
-    : state_(std::make_shared<state>(where, std::move(site))) {}
+control_oracle::control_oracle(world& sim_world, watched_site site)
+    : state_(std::make_shared<state>(sim_world, std::move(site))) {}
 control_oracle::~control_oracle() = default;
 
-void control_oracle::start() { state::look_forever(state_->where, state_); }
+void control_oracle::start() { state::inspect_periodically(state_->sim_world, state_); }
 
-void control_oracle::state::look_forever(world& where, std::weak_ptr<state> weak) {
+void control_oracle::state::inspect_periodically(world& sim_world, std::weak_ptr<state> weak) {
   auto here = weak.lock();
   if (!here) return;
-  here->look();
-  where.at(where.now() + look_period, [&where, weak] { look_forever(where, weak); });
+  here->inspect();
+  sim_world.at(sim_world.now() + inspection_period,
+               [&sim_world, weak] { inspect_periodically(sim_world, weak); });
 }
 
 }  // namespace simulator
