--- a/src/simulator/control_oracle.cc
+++ b/src/simulator/control_oracle.cc
@@ -1,3 +1,4 @@
+// The periodic inspection of cores and stores, and the checks of the rules in the header.
 #include "simulator/control_oracle.h"
 
 #include <algorithm>
--- a/src/simulator/oracle.cc
+++ b/src/simulator/oracle.cc
@@ -1,3 +1,4 @@
+// Parts of simulator::oracle: what clients and operators observe, and the checks of it.
 #include "simulator/oracle.h"
 
 #include "simulator/oracle_state.h"
--- a/src/simulator/site.cc
+++ b/src/simulator/site.cc
@@ -1,3 +1,4 @@
+// Parts of simulator::site: its machines, their processes, and how a site is begun.
 #include "simulator/site.h"
 
 #include "simulator/site_state.h"
@@ -139,11 +140,11 @@
       std::make_shared<ht::engine_stand_in::node>(sim_world.runtime_of(name), entry.engine, entry.logger);
   node->on_run([this, name](const ht::engine_stand_in::run& what) {
     sim_oracle.engine_event(name, what);
-    auto trap = engine_event_actions.find(what.what);
-    if (trap == engine_event_actions.end()) return;
+    auto found = engine_event_actions.find(what.what);
+    if (found == engine_event_actions.end()) return;
     // Runs as an event of its own: the action may kill the engine, whose code is still on the stack here.
-    sim_world.at(sim_world.now(), [action = std::move(trap->second), name] { action(name); });
-    engine_event_actions.erase(trap);
+    sim_world.at(sim_world.now(), [action = std::move(found->second), name] { action(name); });
+    engine_event_actions.erase(found);
   });
   sim_oracle.engine_started(engine_info_of(entry));
   sim_world.runtime_of(name).spawn(start_and_ignore_result(node));
--- a/src/simulator/site.h
+++ b/src/simulator/site.h
@@ -63,7 +63,7 @@
   void add(const std::string& role, const std::string& name, const std::string& zone);
   // Adds an engine of the kind "model" or "application" and returns its name. It isn't booted, and the
   // platform's list shows it only once another change publishes the list.
-  std::string add_engine(const partner_shape& of, const std::string& kind, const std::string& zone,
+  std::string add_engine(const partner_shape& partner, const std::string& kind, const std::string& zone,
                          const std::string& weights);
   // Removes an engine from the platform's list; the machine keeps running.
   void remove_engine(const std::string& name);
--- a/src/simulator/site_engines.cc
+++ b/src/simulator/site_engines.cc
@@ -4,7 +4,7 @@
 
 namespace simulator {
 
-std::string site::add_engine(const partner_shape& of, const std::string& kind, const std::string& zone,
+std::string site::add_engine(const partner_shape& partner, const std::string& kind, const std::string& zone,
                              const std::string& weights) {
   auto& self = *state_;
   std::string name = (kind == "model" ? "model-" : "app-") + std::to_string(self.next_engine++);
@@ -12,8 +12,8 @@
   auto& engine = entry.engine;
   engine.name = name;
   engine.kind = kind;
-  engine.partner = of.name;
-  engine.serves = kind == "model" ? of.model : of.application;
+  engine.partner = partner.name;
+  engine.serves = kind == "model" ? partner.model : partner.application;
   engine.zone = zone;
   engine.http = entry.http;
   engine.weights = weights;
@@ -23,7 +23,7 @@
   engine.call_milliseconds = self.options.call_milliseconds;
   self.engines.push_back({{"name", name},
                           {"kind", kind},
-                          {"partner", of.name},
+                          {"partner", partner.name},
                           {"serves", engine.serves},
                           {"address", entry.http},
                           {"zone", zone},
@@ -51,10 +51,10 @@
   for (auto& entry : self.engines)
     if (entry["name"] == name) entry["state"] = "leaving";
   auto old = self.machines.at(name);
-  partner_shape of;
+  partner_shape partner;
   for (auto& each : self.options.partners)
-    if (each.name == old.engine.partner) of = each;
-  auto replacement = add_engine(of, old.engine.kind, old.zone, weights);
+    if (each.name == old.engine.partner) partner = each;
+  auto replacement = add_engine(partner, old.engine.kind, old.zone, weights);
   boot(replacement);
   self.publish_engines();
   std::weak_ptr<state> weak = state_;
--- a/tests/site_test.cc
+++ b/tests/site_test.cc
@@ -13,8 +13,8 @@
   simulator::world world;
   simulator::oracle oracle;
   simulator::site sim_site;
-  explicit small_site(simulator::site_options choice, std::uint64_t seed = 5)
-      : world(seed), oracle(world), sim_site(world, oracle, choice) {
+  explicit small_site(simulator::site_options options, std::uint64_t seed = 5)
+      : world(seed), oracle(world), sim_site(world, oracle, options) {
     REQUIRE(sim_site.begin());
     world.run_for(4 * second);
   }
@@ -76,9 +76,9 @@
 }
 
 TEST_CASE("a receipt shrinks to a tombstone after its retention time, and its key never runs again") {
-  simulator::site_options choice;
-  choice.receipt_seconds = 1;
-  small_site site(choice);
+  simulator::site_options options;
+  options.receipt_seconds = 1;
+  small_site site(options);
   REQUIRE(site.call("k1").status == 200);
   auto again = site.call("k1");
   REQUIRE(again.status == 200);
@@ -92,12 +92,12 @@
 }
 
 TEST_CASE("queued turns are answered at once when the last usable engine fails") {
-  simulator::site_options choice;
-  choice.partners = {simulator::swanreach(1, 1)};
-  choice.turns_per_engine = 1;
-  choice.warm_seconds = 0;
-  choice.token_milliseconds = 50;
-  small_site site(choice);
+  simulator::site_options options;
+  options.partners = {simulator::swanreach(1, 1)};
+  options.turns_per_engine = 1;
+  options.warm_seconds = 0;
+  options.token_milliseconds = 50;
+  small_site site(options);
   std::vector<std::shared_ptr<std::optional<load_generator::seen_turn>>> seen;
   for (int number = 0; number < 6; ++number) {
     seen.push_back(std::make_shared<std::optional<load_generator::seen_turn>>());
@@ -120,10 +120,10 @@
 }
 
 TEST_CASE("a client that doesn't read is disconnected, and the data buffered for it is bounded") {
-  simulator::site_options choice;
-  choice.client_buffer_kilobytes = 1;
-  choice.token_milliseconds = 20;
-  small_site site(choice);
+  simulator::site_options options;
+  options.client_buffer_kilobytes = 1;
+  options.token_milliseconds = 20;
+  small_site site(options);
   std::vector<std::shared_ptr<std::optional<load_generator::seen_turn>>> seen;
   for (int number = 0; number < 20; ++number) {
     seen.push_back(std::make_shared<std::optional<load_generator::seen_turn>>());
