--- a/src/ledger/call_ledger.h
+++ b/src/ledger/call_ledger.h
@@ -4,7 +4,7 @@
 //
 // Invariants:
 // - A call is sent to an engine only after `started` is agreed for this attempt.
-// - A client is told that a call has not run only after `not_run` is agreed. A proxy that was suspended
+// - A client receives "not run" for a call only after `not_run` is agreed. A proxy that was suspended
 //   meanwhile can't undo that when it resumes, because it finds its attempt no longer in the state
 //   `started`.
 #pragma once
--- a/src/proxy/idempotent_call.cc
+++ b/src/proxy/idempotent_call.cc
@@ -146,8 +146,8 @@
   if (outcome.execution == call_execution::answered) {
     bool stored = co_await self->store_answer(record_key, record, outcome.response, settings);
     shared->logger.count("herontally_calls_total{how=\"done\"}");
-    // The answer is valid either way; if it could not be stored, a repeated call is told that the call may
-    // have run.
+    // The answer is valid either way; if it could not be stored, the reply to a repeated call says that the
+    // call may have run.
     send_answer(out, outcome.response.status, content_type_of(outcome.response), outcome.response.body,
                 stored ? "new" : "unstored");
     co_return attempt_result::answered;
--- a/src/proxy/turn_handler.cc
+++ b/src/proxy/turn_handler.cc
@@ -379,7 +379,7 @@
                                                            tokens, turn->settings.keep_seconds,
                                                            shared->runtime.now() + ledger_timeout);
   if (status != ledger::settlement_status::settled) {
-    // The turn is not durable or was superseded, so the client must not be told that it is complete.
+    // The turn is not durable or was superseded, so the client must not receive it as complete.
     shared->logger.count("herontally_turns_total{how=\"unsettled\"}");
     send_end(*shared, request, progress, stream_end::cut,
              {{"reason", "the ledger could not settle the turn"}});
--- a/src/simulator/measure_times.cc
+++ b/src/simulator/measure_times.cc
@@ -71,7 +71,7 @@
   return last_seen;
 }
 
-// How long an engine that refuses nothing still gets requests after the platform was told that it leaves.
+// How long an engine that refuses nothing still gets requests after the platform was notified that it leaves.
 double measure_drain(site& sim_site) {
   std::string victim = "model-1";
   sim_site.roll_engine(victim, "v1");
--- a/src/simulator/oracle.h
+++ b/src/simulator/oracle.h
@@ -1,4 +1,4 @@
-// Test oracle for simulated sites: is told what clients, engines and operators observe, and records
+// Test oracle for simulated sites: receives what clients, engines and operators observe and records
 // violations of the rules that must hold in every run. It sees nothing inside the nodes, apart from the time
 // at which the first node reports an engine as leaving; control_oracle.h checks the state of cores and
 // stores.
