--- a/tests/model/clients.h
+++ b/tests/model/clients.h
@@ -1,4 +1,6 @@
-// The writers and movers of a run: machines of their own that use the register through its proposers.
+// The clients of a run, each on a simulated machine of its own. Writers read and compare-and-set the keys and
+// record what they observe; movers change the group's voters. Both use the register through a proposer only;
+// the faults are injected elsewhere (injector.h).
 #pragma once
 #include <map>
 
@@ -9,31 +11,33 @@
 
 namespace herontally::model {
 
-// What all clients of a run share.
+// State that all clients of a run share.
 struct client_context {
   simulator::world* world = nullptr;
   std::vector<std::string> addresses;
   std::vector<std::string> storage_names;
   int keys = 1;
-  runtime::microseconds longest_pause = 0;  // between a writer's operations
-  bool writing = true;                      // writers go on
-  bool moving = true;                       // movers also move the group without need
-  int next_value = 1;
-  std::int64_t epoch = 0;  // of the mover that took its duty last
-  int moves_finished = 0;
-  std::map<std::string, std::vector<operation>> histories;
+  runtime::microseconds max_pause = 0;  // between a writer's operations
+  bool writing = true;                  // writers stop when it becomes false
+  bool unneeded_moves = true;           // movers also replace healthy voters and abandon moves
+  int next_value = 1;                   // of the next set; each value is used once
+  std::int64_t epoch = 0;               // of the mover that claimed its role last
+  int completed_moves = 0;
+  std::map<std::string, std::vector<operation>> histories;  // by key
 };
 using shared_context = std::shared_ptr<client_context>;
 
+// A proposer of the group on the named machine; it finds the voters through the storage machines' addresses.
 consensus::proposer make_proposer(const shared_context& context, const std::string& machine);
 
-// Several tasks that share one proposer, as a node's do: each reads and compare-and-sets over the keys until
-// the context says otherwise.
+// Starts several tasks that share one proposer, as the tasks of a node do. Each reads and compare-and-sets
+// random keys until `writing` is false.
 void start_writer(shared_context context, std::string name, consensus::proposer group);
-// Reads every key once; true when all could be read.
+// Reads every key once and records the reads. False as soon as a key can't be read before the deadline.
 runtime::task<bool> read_all(shared_context context, std::string name, consensus::proposer group,
                              runtime::microseconds deadline);
-// Replaces lost voters by spares, finishes moves, and moves the group without need now and then.
-runtime::task<> move_forever(shared_context context, consensus::proposer group);
+// Replaces lost voters by spares and finishes moves in progress, without end. While `unneeded_moves` is true
+// it also replaces healthy voters and abandons moves at random.
+runtime::task<> run_mover(shared_context context, consensus::proposer group);
 
 }  // namespace herontally::model
--- a/tests/model/history.cc
+++ b/tests/model/history.cc
@@ -8,93 +8,94 @@
 
 namespace {
 
-// Far more than any history of a run needs; beyond it the check gives up and says so.
-constexpr std::size_t most_configurations = 1'000'000;
+// Far more than any history of a run needs; beyond it the result is `undecided`.
+constexpr std::size_t max_visited_states = 1'000'000;
 
 class search {
  public:
   explicit search(std::vector<operation> history) : history_(std::move(history)) {
-    done_.assign(history_.size(), '0');
-    for (auto& each : history_) left_ += certain(each) ? 1 : 0;
-    fewest_left_ = left_;
+    taken_.assign(history_.size(), '0');
+    for (auto& each : history_) remaining_ += must_take_effect(each) ? 1 : 0;
+    fewest_remaining_ = remaining_;
   }
 
   check_result run() {
     if (extend(no_value)) return {};
-    if (exhausted_) return {verdict::undecided, "the search was given up"};
+    if (exhausted_) return {verdict::undecided, "the search exceeded its limit of visited states"};
     return {verdict::violated, explanation_};
   }
 
  private:
-  static bool certain(const operation& each) { return each.kind != operation_kind::uncertain_set; }
+  static bool must_take_effect(const operation& each) { return each.kind != operation_kind::uncertain_set; }
 
-  // An operation may come next unless another one ended before it began.
-  std::int64_t horizon() const {
+  // The earliest end of the operations not yet taken: one that begins later can't come next.
+  std::int64_t earliest_end() const {
     std::int64_t earliest = no_end;
     for (std::size_t index = 0; index < history_.size(); ++index)
-      if (done_[index] == '0') earliest = std::min(earliest, history_[index].end);
+      if (taken_[index] == '0') earliest = std::min(earliest, history_[index].end);
     return earliest;
   }
 
   bool extend(int current) {
-    if (left_ == 0) return true;
-    bool known = !visited_.insert(done_ + std::to_string(current)).second;
-    if (known) return false;
-    if (visited_.size() > most_configurations) exhausted_ = true;
+    if (remaining_ == 0) return true;
+    bool visited = !visited_.insert(taken_ + std::to_string(current)).second;
+    if (visited) return false;
+    if (visited_.size() > max_visited_states) exhausted_ = true;
     if (exhausted_) return false;
-    auto latest_begin = horizon();
-    note_progress(current, latest_begin);
-    // A read changes nothing, so taking it as soon as it fits loses no other order.
+    auto latest_begin = earliest_end();
+    update_explanation(current, latest_begin);
+    // A read changes nothing, so taking it as soon as it fits excludes no valid order.
     for (std::size_t index = 0; index < history_.size(); ++index) {
       auto& each = history_[index];
       bool fits = each.kind == operation_kind::read && each.value == current;
-      if (done_[index] == '0' && fits && each.begin <= latest_begin) return take(index, current);
+      if (taken_[index] == '0' && fits && each.begin <= latest_begin) return take(index, current);
     }
     for (std::size_t index = 0; index < history_.size(); ++index) {
       auto& each = history_[index];
       bool fits = each.kind != operation_kind::read && each.expected == current;
-      if (done_[index] == '0' && fits && each.begin <= latest_begin && take(index, each.value)) return true;
+      if (taken_[index] == '0' && fits && each.begin <= latest_begin && take(index, each.value)) return true;
     }
     return false;
   }
 
   bool take(std::size_t index, int next) {
-    int weight = certain(history_[index]) ? 1 : 0;
-    done_[index] = '1';
-    left_ -= weight;
+    int counted = must_take_effect(history_[index]) ? 1 : 0;
+    taken_[index] = '1';
+    remaining_ -= counted;
     bool found = extend(next);
-    left_ += weight;
-    done_[index] = '0';
+    remaining_ += counted;
+    taken_[index] = '0';
     return found;
   }
 
-  void note_progress(int current, std::int64_t latest_begin) {
+  void update_explanation(int current, std::int64_t latest_begin) {
     bool first = explanation_.empty();
-    if (!first && left_ >= fewest_left_) return;
-    fewest_left_ = left_;
+    if (!first && remaining_ >= fewest_remaining_) return;
+    fewest_remaining_ = remaining_;
     explanation_ = "with value " + std::to_string(current) + " none of these can come next:";
     for (std::size_t index = 0; index < history_.size(); ++index)
-      if (done_[index] == '0' && history_[index].begin <= latest_begin)
+      if (taken_[index] == '0' && history_[index].begin <= latest_begin)
         explanation_ += "\n    " + describe(history_[index]);
   }
 
   std::vector<operation> history_;
-  std::string done_;
-  int left_ = 0, fewest_left_ = 0;
+  std::string taken_;
+  int remaining_ = 0, fewest_remaining_ = 0;
   std::unordered_set<std::string> visited_;
   std::string explanation_;
   bool exhausted_ = false;
 };
 
-// Leaves out what didn't happen, and each uncertain set that may as well not have: nobody saw its effect.
-std::vector<operation> that_matter(const std::vector<operation>& history) {
-  std::set<int> seen;
-  for (auto& each : history) seen.insert(each.kind == operation_kind::read ? each.value : each.expected);
+// Leaves out the sets without effect and each uncertain set whose value no operation read or replaced: it may
+// as well not have taken effect.
+std::vector<operation> relevant_operations(const std::vector<operation>& history) {
+  std::set<int> observed;
+  for (auto& each : history) observed.insert(each.kind == operation_kind::read ? each.value : each.expected);
   std::vector<operation> kept;
   for (auto& each : history) {
     if (each.kind == operation_kind::without_effect) continue;
-    bool sent_since_report = each.kind == operation_kind::uncertain_set && !seen.count(each.value);
-    if (!sent_since_report) kept.push_back(each);
+    bool unobserved = each.kind == operation_kind::uncertain_set && !observed.count(each.value);
+    if (!unobserved) kept.push_back(each);
   }
   return kept;
 }
@@ -102,7 +103,7 @@
 }  // namespace
 
 check_result check_linearizable(const std::vector<operation>& history) {
-  return search(that_matter(history)).run();
+  return search(relevant_operations(history)).run();
 }
 
 std::string describe(const operation& each) {
--- a/tests/model/injector.cc
+++ b/tests/model/injector.cc
@@ -5,48 +5,47 @@
 namespace {
 
 constexpr std::int64_t millisecond = 1000;
-// How often the moves are looked at.
-constexpr std::int64_t step = 1 * millisecond;
-constexpr std::int64_t longest_outage = 1500 * millisecond;
+// How often the injector checks whether a move has begun or ended.
+constexpr std::int64_t move_check_interval = 1 * millisecond;
+constexpr std::int64_t max_outage = 1500 * millisecond;
 constexpr std::uint64_t messages_until_freeze = 12, writes_until_power_loss = 6;
-constexpr std::int64_t most_clock_step = 6000 * millisecond;
+constexpr std::int64_t max_clock_step = 6000 * millisecond;
 constexpr double slow_share = 0.3, duplicate_share = 0.15, lost_share = 0.15;
-constexpr std::uint64_t most_link_delay = 400 * millisecond;
-constexpr std::int64_t slow_links_time = 2500 * millisecond;
-constexpr std::int64_t most_extra_delay = 550 * millisecond;
+constexpr std::uint64_t max_link_delay = 400 * millisecond;
+constexpr std::int64_t slow_links_duration = 2500 * millisecond;
+constexpr std::int64_t max_extra_delay = 550 * millisecond;
 
 }  // namespace
 
 injector::injector(simulator::world& world, cluster& group, std::vector<std::string> clients,
                    std::function<void(const std::string&)> start_client)
     : world_(world), group_(group), clients_(std::move(clients)), start_client_(std::move(start_client)) {
-  world_.net().most_extra = most_extra_delay;
+  world_.net().most_extra = max_extra_delay;
 }
 
-int injector::injected() const { return static_cast<int>(story_.size()); }
-const std::vector<std::string>& injector::story() const { return story_; }
+int injector::injected() const { return static_cast<int>(events_.size()); }
+const std::vector<std::string>& injector::events() const { return events_; }
 
-void injector::note(const fault& each, const std::string& whom) {
-  story_.push_back(std::to_string(world_.now()) + " us: " + name_of(each.kind) + " of " + whom + " for " +
-                   std::to_string(each.length) + " us" +
-                   (each.until_move_ends ? " or until the move ends" : ""));
+void injector::record(const fault& each, const std::string& target) {
+  events_.push_back(std::to_string(world_.now()) + " us: " + name_of(each.kind) + " of " + target + " for " +
+                    std::to_string(each.duration) + " us" +
+                    (each.until_move_ends ? " or until the move ends" : ""));
 }
 
-void injector::after(const fault& each, std::int64_t length, std::function<void()> end) {
+void injector::schedule_end(const fault& each, std::int64_t duration, std::function<void()> end) {
   auto once = [ended = std::make_shared<bool>(false), end = std::move(end)] {
     if (!std::exchange(*ended, true)) end();
   };
-  ends_.emplace(world_.now() + length, once);
+  ends_.emplace(world_.now() + duration, once);
   if (each.until_move_ends) move_ends_.push_back(once);
 }
 
-// Begins the faults that wait for a move, and ends those that last as long as one.
-void injector::follow_move() {
-  bool open = group_.move_open();
-  bool changed = open != std::exchange(move_was_open_, open);
+void injector::check_move() {
+  bool begun = group_.move_in_progress();
+  bool changed = begun != std::exchange(move_in_progress_, begun);
   if (!changed) return;
-  if (open) {
-    // Not all at once, so that later moves have their share.
+  if (begun) {
+    // One fault for each move, so that faults are left for later moves.
     if (waiting_for_move_.empty()) return;
     auto next = waiting_for_move_.front();
     waiting_for_move_.erase(waiting_for_move_.begin());
@@ -58,10 +57,10 @@
 
 void injector::run_until(std::int64_t moment) {
   while (world_.now() < moment) {
-    auto next = std::min(moment, world_.now() + step);
+    auto next = std::min(moment, world_.now() + move_check_interval);
     if (!ends_.empty()) next = std::min(next, std::max(ends_.begin()->first, world_.now()));
     world_.run_for(next - world_.now());
-    follow_move();
+    check_move();
     while (!ends_.empty() && ends_.begin()->first <= world_.now()) {
       auto due = ends_.extract(ends_.begin());
       due.mapped()();
@@ -94,8 +93,8 @@
 
 void injector::inject(const fault& each) {
   auto voters = group_.storage_names();
-  auto& voter = voters[each.pick % voters.size()];
-  auto& client = clients_[each.pick % clients_.size()];
+  auto& voter = voters[each.target_seed % voters.size()];
+  auto& client = clients_[each.target_seed % clients_.size()];
   switch (each.kind) {
     case fault_kind::crash:
     case fault_kind::power_loss:
@@ -124,21 +123,22 @@
 void injector::inject_into_voter(const fault& each, const std::string& name) {
   auto& host = world_.find(name);
   auto& machine = group_.storage(name);
-  bool troubled = !host.up || host.frozen || machine.isolated || machine.losing_power;
-  if (troubled || !group_.may_lose(name)) return;
-  note(each, name);
-  auto outage = std::min(each.length, longest_outage);
+  bool already_faulty = !host.up || host.frozen || machine.isolated || machine.losing_power;
+  if (already_faulty || !group_.tolerates_loss(name)) return;
+  record(each, name);
+  auto outage = std::min(each.duration, max_outage);
   if (each.kind == fault_kind::freeze_voter) {
     world_.freeze(name);
-    return after(each, each.length, [this, name] { world_.wake(name); });
+    return schedule_end(each, each.duration, [this, name] { world_.wake(name); });
   }
   if (each.kind == fault_kind::isolate_voter) return isolate(each, name);
   auto restart = [this, name] { group_.boot(name); };
   if (each.kind == fault_kind::power_at_write) {
-    // The power goes at one of the next writes; until the process is gone too it answers nothing more.
-    host.disk.crash_after = 1 + static_cast<int>(each.pick / 64 % writes_until_power_loss);
+    // The power fails at one of the next disk operations. From then until the process is killed the voter
+    // answers nothing.
+    host.disk.crash_after = 1 + static_cast<int>(each.target_seed / 64 % writes_until_power_loss);
     machine.losing_power = true;
-    return after(each, outage, [this, name, restart] {
+    return schedule_end(each, outage, [this, name, restart] {
       group_.kill(name, simulator::disk_loss::unsynced);
       world_.find(name).disk.crash_after = -1;
       restart();
@@ -148,20 +148,20 @@
   group_.kill(name, lost    ? simulator::disk_loss::all
                     : power ? simulator::disk_loss::unsynced
                             : simulator::disk_loss::none);
-  after(each, outage, restart);
+  schedule_end(each, outage, restart);
 }
 
 void injector::isolate(const fault& each, const std::string& name) {
   std::vector<std::string> others = group_.storage_names();
   others.insert(others.end(), clients_.begin(), clients_.end());
-  // Both ways, or only what it sends, or only what it is sent.
-  bool inward = each.pick / 64 % 3 != 0, outward = each.pick / 64 % 3 != 1;
+  // Cuts both directions, only what it sends, or only what it receives.
+  bool inward = each.target_seed / 64 % 3 != 0, outward = each.target_seed / 64 % 3 != 1;
   for (auto& other : others) {
     if (inward) world_.cut(other, name);
     if (outward) world_.cut(name, other);
   }
   group_.storage(name).isolated = true;
-  after(each, each.length, [this, name, others] {
+  schedule_end(each, each.duration, [this, name, others] {
     for (auto& other : others) {
       world_.heal(other, name);
       world_.heal(name, other);
@@ -172,27 +172,27 @@
 
 void injector::cut_link(const fault& each) {
   auto voters = group_.storage_names();
-  auto voter = voters[each.pick % voters.size()];
-  auto client = clients_[each.pick / 64 % clients_.size()];
-  bool outward = each.pick / 4096 % 2 == 0;
+  auto voter = voters[each.target_seed % voters.size()];
+  auto client = clients_[each.target_seed / 64 % clients_.size()];
+  bool outward = each.target_seed / 4096 % 2 == 0;
   auto from = outward ? client : voter, to = outward ? voter : client;
-  note(each, from + " to " + to);
+  record(each, from + " to " + to);
   world_.cut(from, to);
-  after(each, each.length, [this, from, to] { world_.heal(from, to); });
+  schedule_end(each, each.duration, [this, from, to] { world_.heal(from, to); });
 }
 
-// Lasts long enough for whole moves to fall between a request and its answer.
+// Lasts long enough for whole moves to take place between a request and its reply.
 void injector::slow_links(const fault& each, const std::string& client) {
   auto& delays = world_.net().link_delays;
-  std::mt19937_64 random(each.pick);
+  std::mt19937_64 random(each.target_seed);
   std::vector<std::pair<std::string, std::string>> links;
   for (auto& voter : group_.storage_names()) {
     if (random() % 2 == 0) links.push_back({client, voter});
     if (random() % 2 == 0) links.push_back({voter, client});
   }
-  note(each, client);
-  for (auto& link : links) delays[link] = static_cast<std::int64_t>(random() % most_link_delay);
-  after(each, slow_links_time, [&delays, links] {
+  record(each, client);
+  for (auto& link : links) delays[link] = static_cast<std::int64_t>(random() % max_link_delay);
+  schedule_end(each, slow_links_duration, [&delays, links] {
     for (auto& link : links) delays.erase(link);
   });
 }
@@ -200,15 +200,15 @@
 void injector::inject_into_client(const fault& each, const std::string& name) {
   auto& host = world_.find(name);
   if (!host.up || host.frozen || host.sends_until_freeze > 0) return;
-  note(each, name);
+  record(each, name);
   if (each.kind == fault_kind::crash_client) {
     world_.kill(name, simulator::disk_loss::none);
-    return after(each, std::min(each.length, longest_outage), [this, name] { restart_client(name); });
+    return schedule_end(each, std::min(each.duration, max_outage), [this, name] { restart_client(name); });
   }
   if (each.kind == fault_kind::freeze_client) world_.freeze(name);
   if (each.kind == fault_kind::freeze_sender)
-    host.sends_until_freeze = 1 + static_cast<int>(each.pick / 64 % messages_until_freeze);
-  after(each, each.length, [this, name] {
+    host.sends_until_freeze = 1 + static_cast<int>(each.target_seed / 64 % messages_until_freeze);
+  schedule_end(each, each.duration, [this, name] {
     world_.find(name).sends_until_freeze = 0;
     world_.wake(name);
   });
@@ -222,10 +222,10 @@
 void injector::step_clock(const fault& each) {
   auto names = group_.storage_names();
   names.insert(names.end(), clients_.begin(), clients_.end());
-  auto name = names[each.pick % names.size()];
-  auto step = static_cast<std::int64_t>(each.pick / 64 % (2 * most_clock_step)) - most_clock_step;
-  note(each, name + " by " + std::to_string(step) + " us");
-  // It stays so, until another step.
+  auto name = names[each.target_seed % names.size()];
+  auto step = static_cast<std::int64_t>(each.target_seed / 64 % (2 * max_clock_step)) - max_clock_step;
+  record(each, name + " by " + std::to_string(step) + " us");
+  // The clock keeps this error until another step.
   world_.find(name).wall_skew += step;
 }
 
@@ -235,11 +235,11 @@
                   : each.kind == fault_kind::duplicate_messages ? net.twice
                                                                 : net.lost;
   if (share > 0) return;
-  note(each, "the network");
+  record(each, "the network");
   share = each.kind == fault_kind::slow_network         ? slow_share
           : each.kind == fault_kind::duplicate_messages ? duplicate_share
                                                         : lost_share;
-  after(each, each.length, [&share] { share = 0; });
+  schedule_end(each, each.duration, [&share] { share = 0; });
 }
 
 }  // namespace herontally::model
--- a/tests/model/plan.cc
+++ b/tests/model/plan.cc
@@ -10,15 +10,17 @@
 namespace {
 
 constexpr std::int64_t millisecond = 1000;
-constexpr std::int64_t shortest_span = 2000 * millisecond, longest_span = 5000 * millisecond;
-constexpr std::int64_t shortest_fault = 20 * millisecond;
-constexpr std::int64_t doublings = 6;  // the longest fault is so many times twice the shortest
-constexpr std::int64_t shortest_pause = 30 * millisecond, pause_doublings = 7;
-constexpr int most_keys = 3;
-constexpr int fewest_faults = 4, most_faults = 20;
+constexpr std::int64_t min_span = 2000 * millisecond, max_span = 5000 * millisecond;
+constexpr std::int64_t min_duration = 20 * millisecond;
+// A fault lasts between min_duration << n and twice that, with n from 0 to max_duration_shift.
+constexpr std::int64_t max_duration_shift = 6;
+constexpr std::int64_t min_pause_limit = 30 * millisecond, max_pause_shift = 7;
+constexpr int max_keys = 3;
+constexpr int min_faults = 4, max_faults = 20;
 
-// What tells most about the protocol comes most often.
-constexpr fault_kind choices[] = {
+// A kind that is listed several times is drawn as many times as often: those that test the protocol most come
+// most.
+constexpr fault_kind weighted_kinds[] = {
     fault_kind::crash,         fault_kind::power_loss,
     fault_kind::power_loss,    fault_kind::power_at_write,
     fault_kind::disk_loss,     fault_kind::disk_loss,
@@ -35,14 +37,15 @@
     fault_kind::slow_links,
 };
 
-// Each run has about half of the kinds: what one kind always prevents is then seen by other runs.
+// Each run has about half of the kinds, so that a failure that one kind always prevents is found by the runs
+// without it.
 std::vector<fault_kind> draw_kinds(std::mt19937_64& random) {
   std::map<fault_kind, bool> chosen;
-  for (auto kind : choices) chosen.try_emplace(kind, random() % 2 == 0);
+  for (auto kind : weighted_kinds) chosen.try_emplace(kind, random() % 2 == 0);
   std::vector<fault_kind> kinds;
-  for (auto kind : choices)
+  for (auto kind : weighted_kinds)
     if (chosen[kind]) kinds.push_back(kind);
-  if (kinds.empty()) kinds.assign(std::begin(choices), std::end(choices));
+  if (kinds.empty()) kinds.assign(std::begin(weighted_kinds), std::end(weighted_kinds));
   return kinds;
 }
 
@@ -56,21 +59,22 @@
   run_plan plan;
   plan.writers = static_cast<int>(draw(2, 3));
   plan.movers = static_cast<int>(draw(1, 2));
-  plan.keys = static_cast<int>(draw(1, most_keys));
-  // Busy writers race; between the writes of idle ones a value has to outlast several faults.
-  plan.longest_pause = shortest_pause << draw(0, pause_doublings);
-  std::int64_t span = draw(shortest_span, longest_span);
+  plan.keys = static_cast<int>(draw(1, max_keys));
+  // Writers with short pauses race; with long pauses a value has to survive several faults before the next
+  // write.
+  plan.max_pause = min_pause_limit << draw(0, max_pause_shift);
+  std::int64_t span = draw(min_span, max_span);
   auto kinds = draw_kinds(random);
   if (!options.kinds.empty()) kinds = options.kinds;
-  auto count = draw(fewest_faults, most_faults);
+  auto count = draw(min_faults, max_faults);
   for (std::int64_t number = 0; number < count; ++number) {
     fault each;
     each.kind = kinds[random() % kinds.size()];
     each.at = draw(0, span);
-    // Short ones as often as long ones: each step of the protocol has its own time-out.
-    auto shortest = shortest_fault << draw(0, doublings);
-    each.length = draw(shortest, 2 * shortest);
-    each.pick = random();
+    // Short faults are drawn as often as long ones, since each step of the protocol has its own timeout.
+    auto shortest = min_duration << draw(0, max_duration_shift);
+    each.duration = draw(shortest, 2 * shortest);
+    each.target_seed = random();
     each.at_move = random() % 3 == 0;
     each.until_move_ends = random() % 2 == 0;
     plan.faults.push_back(each);
@@ -89,7 +93,7 @@
 
 std::vector<fault_kind> kinds_named(const std::string& name) {
   std::set<fault_kind> found;
-  for (auto kind : choices)
+  for (auto kind : weighted_kinds)
     if (name_of(kind) == name) found.insert(kind);
   return {found.begin(), found.end()};
 }
--- a/tests/model/shrink.cc
+++ b/tests/model/shrink.cc
@@ -6,9 +6,9 @@
 
 namespace {
 
-constexpr int most_tried = 400;
-// Each shorter plan is tried under a few orders of messages.
-constexpr std::uint64_t variations = 3;
+constexpr int max_attempts = 400;
+// Each reduced plan is run with a few variations of the message order.
+constexpr std::uint64_t variations_per_plan = 3;
 
 class shrinker {
  public:
@@ -24,20 +24,20 @@
   }
 
   shrunk_run run() {
-    bool shorter = true;
-    while (shorter && best_.tried < most_tried) {
+    bool progress = true;
+    while (progress && best_.attempts < max_attempts) {
       bool fewer = remove_faults();
-      bool sooner = end_sooner();
-      shorter = fewer || sooner;
+      bool sooner = shorten_span();
+      progress = fewer || sooner;
     }
     return best_;
   }
 
  private:
   bool still_fails(run_options options) {
-    for (std::uint64_t change = 0; change < variations && best_.tried < most_tried; ++change) {
+    for (std::uint64_t change = 0; change < variations_per_plan && best_.attempts < max_attempts; ++change) {
       options.variation = best_.options.variation + change;
-      best_.tried += 1;
+      best_.attempts += 1;
       auto result = run_once(options);
       if (!result.failure || result.failure->kind != kind_) continue;
       best_.options = options;
@@ -47,7 +47,7 @@
     return false;
   }
 
-  // Halves first, then quarters, down to single faults.
+  // Removes halves of the plan first, then quarters, down to single faults.
   bool remove_faults() {
     bool removed = false;
     for (std::size_t size = best_.options.only_faults.size() / 2; size > 0; size /= 2) {
@@ -65,7 +65,7 @@
     return removed;
   }
 
-  bool end_sooner() {
+  bool shorten_span() {
     auto shorter = best_.options;
     shorter.span = *shorter.span * 3 / 4;
     return still_fails(shorter);
@@ -81,7 +81,7 @@
   return shrinker(failing, result).run();
 }
 
-static std::string names_of(const std::vector<fault_kind>& kinds) {
+static std::string joined_names(const std::vector<fault_kind>& kinds) {
   std::string names;
   for (auto kind : kinds) names += (names.empty() ? "" : ",") + name_of(kind);
   return names;
@@ -91,7 +91,7 @@
   auto seed = std::to_string(options.seed);
   std::string command = "register_model --seeds " + seed + ".." + seed;
   command += " --voters " + std::to_string(options.voters) + " --spares " + std::to_string(options.spares);
-  if (!options.kinds.empty()) command += " --only '" + names_of(options.kinds) + "'";
+  if (!options.kinds.empty()) command += " --only '" + joined_names(options.kinds) + "'";
   if (options.variation > 0) command += " --variation " + std::to_string(options.variation);
   if (options.span) command += " --span_ms " + std::to_string(*options.span / 1000);
   if (options.all_faults) return command;
