--- a/tests/input_fuzz/mutation.cc
+++ b/tests/input_fuzz/mutation.cc
@@ -4,11 +4,12 @@
 
 namespace {
 
-constexpr const char* nesting_mark = "<nested here>";
+constexpr const char* nesting_placeholder = "<nested here>";
 
-// Put into the text alone: a document of such a depth can't be handled as a value.
+// Replaces the placeholder by nested lists or objects. This is done in the text, since the JSON library can't
+// hold a value of such a depth.
 std::string with_nesting(std::string text, std::size_t depth, bool lists) {
-  std::string quoted = std::string("\"") + nesting_mark + "\"";
+  std::string quoted = std::string("\"") + nesting_placeholder + "\"";
   auto at = text.find(quoted);
   if (at == std::string::npos) return text;
   std::string nested, open = lists ? "[" : "{\"a\":", close = lists ? "]" : "}";
@@ -20,7 +21,7 @@
 
 }  // namespace
 
-json mutator::odd_value() {
+json mutator::unexpected_value() {
   switch (draw(14)) {
     case 0:
       return nullptr;
@@ -53,7 +54,7 @@
   }
 }
 
-std::string mutator::odd_number() {
+std::string mutator::unexpected_number() {
   static const char* const numbers[] = {
       "0",    "-1",  "2000000000", "9223372036854775807",  "-9223372036854775808",
       "1e9",  "1.5", "",           "99999999999999999999", "+7",
@@ -61,55 +62,55 @@
   return numbers[draw(std::size(numbers))];
 }
 
-// Some value inside the document, at any depth.
-json* mutator::draw_place(json& document) {
-  json* place = &document;
-  while (place->is_structured() && !place->empty() && !chance(4)) {
-    auto entry = place->begin();
-    std::advance(entry, static_cast<std::ptrdiff_t>(draw(place->size())));
-    place = &*entry;
+// A random value inside the document, at any depth.
+json* mutator::draw_value(json& document) {
+  json* value = &document;
+  while (value->is_structured() && !value->empty() && !one_in(4)) {
+    auto entry = value->begin();
+    std::advance(entry, static_cast<std::ptrdiff_t>(draw(value->size())));
+    value = &*entry;
   }
-  return place;
+  return value;
 }
 
-void mutator::mutate_place(json& place) {
+void mutator::mutate_value(json& value) {
   switch (draw(6)) {
     case 0:
-      place = odd_value();
+      value = unexpected_value();
       break;
     case 1:
-      place = nesting_mark;
+      value = nesting_placeholder;
       break;
-    case 2:  // as an object where a list was, and the other way round
-      if (place.is_array() && !place.empty())
-        place = json(place.front());
+    case 2:  // an element in place of its list, or a list in place of its element
+      if (value.is_array() && !value.empty())
+        value = json(value.front());
       else
-        place = json::array({json(place)});
+        value = json::array({json(value)});
       break;
     case 3:
-      if (place.is_object())
-        place["odd"] = odd_value();
-      else if (place.is_array())
-        place.push_back(odd_value());
+      if (value.is_object())
+        value["odd"] = unexpected_value();
+      else if (value.is_array())
+        value.push_back(unexpected_value());
       else
-        place = odd_value();
+        value = unexpected_value();
       break;
     case 4:
-      if (place.is_array() && !place.empty()) place.push_back(json(place.front()));
-      if (place.is_object() && !place.empty()) place.erase(place.begin().key());
+      if (value.is_array() && !value.empty()) value.push_back(json(value.front()));
+      if (value.is_object() && !value.empty()) value.erase(value.begin().key());
       break;
     default:
-      if (place.is_object()) place["label"] = odd_value();
+      if (value.is_object()) value["label"] = unexpected_value();
       break;
   }
 }
 
 std::string mutator::document(json document) {
-  for (auto changes = draw(4); changes > 0; --changes) mutate_place(*draw_place(document));
+  for (auto changes = draw(4); changes > 0; --changes) mutate_value(*draw_value(document));
   static const std::size_t depths[] = {3, 60, 70, 1000, 200'000};
   auto text = document.dump(-1, ' ', false, json::error_handler_t::replace);
-  text = with_nesting(std::move(text), depths[draw(std::size(depths))], chance(2));
-  return chance(6) ? bytes(std::move(text)) : text;
+  text = with_nesting(std::move(text), depths[draw(std::size(depths))], one_in(2));
+  return one_in(6) ? bytes(std::move(text)) : text;
 }
 
 std::string mutator::bytes(std::string bytes) {
--- a/tests/input_fuzz/targets.cc
+++ b/tests/input_fuzz/targets.cc
@@ -46,7 +46,7 @@
           {"mix", json::array({{{"backend", service}, {"share", 9}}})}};
 }
 
-json whole_configuration(std::int64_t generation) {
+json valid_configuration(std::int64_t generation) {
   json engine{
       {"capacity", 64}, {"cache_tokens", 207117}, {"chunk", 4}, {"catalog", json::array({{{"label", "m"}}})}};
   json chat{{"label", "chat"}, {"probe", "/health"},   {"max_conns", 360},
@@ -64,32 +64,34 @@
       {"caps", {{"header_bytes", 16384}, {"body_bytes", 4194304}, {"header_ms", 3000}, {"idle_ms", 15000}}}};
 }
 
-json whole_amendment(std::int64_t generation) {
+json valid_amendment(std::int64_t generation) {
   return {{"generation", generation},
           {"upsert", {{"routing", json::array({route("more", "chat")})}, {"caps", {{"idle_ms", 9000}}}}},
           {"remove", {{"routing", json::array({"look"})}, {"principals", json::array({"t"})}}},
           {"caps", {{"idle_ms", 8000}}}};
 }
 
-// Uses an acknowledged configuration as its operator and the other nodes do.
-void use_configuration(const platform_protocol::configuration& taken) {
-  auto read_again = platform::make_adapter()->read_configuration(std::nullopt, {0, false, taken.source});
-  if (!std::holds_alternative<platform_protocol::configuration>(read_again))
-    throw std::logic_error("an acknowledged configuration can't be sent anew");
-  json amendment{{"generation", taken.table.version + 1}};
-  auto amended = adapter().read_configuration(taken.source, {0, true, amendment.dump()});
+// Uses an accepted configuration as its operator and the other nodes do: it can be sent again, amended and
+// stored.
+void use_configuration(const platform_protocol::configuration& accepted) {
+  auto resent = platform::make_adapter()->read_configuration(std::nullopt, {0, false, accepted.source});
+  if (!std::holds_alternative<platform_protocol::configuration>(resent))
+    throw std::logic_error("an accepted configuration is rejected when it is sent again");
+  json amendment{{"generation", accepted.table.version + 1}};
+  auto amended = adapter().read_configuration(accepted.source, {0, true, amendment.dump()});
   if (!std::holds_alternative<platform_protocol::configuration>(amended))
-    throw std::logic_error("an acknowledged configuration can't be amended");
-  auto record = configuration::next_routing(configuration::empty_record(), taken.source, taken.table,
+    throw std::logic_error("an accepted configuration can't be amended");
+  auto record = configuration::next_routing(configuration::empty_record(), accepted.source, accepted.table,
                                             "digest", "change");
   auto stored = configuration::record_from_text(configuration::to_text(record));
-  if (!stored || stored->operator_source != taken.source)
-    throw std::logic_error("an acknowledged configuration can't be read back");
+  if (!stored || stored->operator_source != accepted.source)
+    throw std::logic_error("an accepted configuration can't be read back from its stored record");
 }
 
-void read_change(const std::optional<std::string>& current, bool partial, const std::string& body) {
+void parse_change(const std::optional<std::string>& current, bool partial, const std::string& body) {
   auto read = adapter().read_configuration(current, {0, partial, body});
-  if (auto* taken = std::get_if<platform_protocol::configuration>(&read)) return use_configuration(*taken);
+  if (auto* accepted = std::get_if<platform_protocol::configuration>(&read))
+    return use_configuration(*accepted);
   platform_protocol::command_reply reply;
   reply.status = platform_protocol::command_status::invalid;
   reply.violations = std::get<violations>(read);
@@ -97,27 +99,27 @@
 }
 
 void feed_configuration(mutator& inputs) {
-  read_change(std::nullopt, false, inputs.document(whole_configuration(7)));
+  parse_change(std::nullopt, false, inputs.document(valid_configuration(7)));
 }
 
-// An amendment, at times with a value of any form for some member of the configuration.
+// An amendment, sometimes with a value of an unexpected type for one member of the configuration.
 json drawn_amendment(mutator& inputs) {
   static const char* const members[] = {"routing", "backends", "principals", "generation", "caps", "news"};
-  auto change = whole_amendment(9);
+  auto change = valid_amendment(9);
   auto* member = members[inputs.draw(std::size(members))];
-  if (inputs.chance(3)) change["upsert"][member] = inputs.odd_value();
+  if (inputs.one_in(3)) change["upsert"][member] = inputs.unexpected_value();
   return change;
 }
 
-// Of a current configuration that was taken from an operator too.
+// Amends a current configuration that may itself be a mutated one that was accepted.
 void feed_amendment(mutator& inputs) {
-  auto current = whole_configuration(7).dump();
-  if (inputs.chance(3)) {
-    auto other = inputs.document(whole_configuration(7));
-    auto taken = adapter().read_configuration(std::nullopt, {0, false, other});
-    if (std::holds_alternative<platform_protocol::configuration>(taken)) current = other;
+  auto current = valid_configuration(7).dump();
+  if (inputs.one_in(3)) {
+    auto other = inputs.document(valid_configuration(7));
+    auto accepted = adapter().read_configuration(std::nullopt, {0, false, other});
+    if (std::holds_alternative<platform_protocol::configuration>(accepted)) current = other;
   }
-  read_change(current, true, inputs.document(drawn_amendment(inputs)));
+  parse_change(current, true, inputs.document(drawn_amendment(inputs)));
 }
 
 void feed_operator_call(mutator& inputs) {
@@ -125,12 +127,12 @@
                                       "/-/config/read",     "/-/evacuation/zone-a/begin",
                                       "/-/retire/s1/begin", "/-/retire/s1/read"};
   runtime::inbound_request request;
-  request.method = inputs.chance(2) ? "POST" : "GET";
+  request.method = inputs.one_in(2) ? "POST" : "GET";
   request.path = "/" + inputs.bytes(std::string(paths[inputs.draw(std::size(paths))]).substr(1));
   request.body = inputs.document({{"over_s", 5}});
-  request.headers["x-base-version"] = inputs.odd_number();
+  request.headers["x-base-version"] = inputs.unexpected_number();
   auto command = adapter().read_command(request);
-  // Names are stored and shown as JSON.
+  // Names are stored and written as JSON, so they must be valid UTF-8.
   if (auto* zone = std::get_if<platform_protocol::evacuate_command>(&command))
     static_cast<void>(json(zone->zone).dump());
   if (auto* node = std::get_if<platform_protocol::retire_command>(&command))
@@ -138,7 +140,7 @@
   adapter().write_reply(command, {});
 }
 
-std::string list_of_engines() {
+std::string engine_list_text() {
   json engine{{"backend", "chat"}, {"endpoint", "10.0.0.1:8080"}, {"zone", "zone-a"},   {"generation", "v1"},
               {"capacity", 4},     {"phase", "serving"},          {"warmup_left_ms", 0}};
   json servers = json::array();
@@ -149,38 +151,38 @@
   return json{{"servers", servers}, {"next_token", nullptr}}.dump();
 }
 
-void list_engines(router::engine_pool& pool, const platform_protocol::list_page& page) {
+void set_engine_list(router::engine_pool& pool, const platform_protocol::list_page& page) {
   pool.set_list(nlohmann::json(page.engines).dump(), second);
 }
 
-std::map<std::string, std::string> odd_head(mutator& inputs) {
-  auto number = [&inputs] { return inputs.odd_number(); };
+std::map<std::string, std::string> drawn_headers(mutator& inputs) {
+  auto number = [&inputs] { return inputs.unexpected_number(); };
   std::string prefix = "5c1e07a2:" + number() + ",91bd3f:" + number() + "," + number() + ":,:" + number();
-  std::map<std::string, std::string> head{
+  std::map<std::string, std::string> headers{
       {"x-attempt-id", "a"},
       {"x-model", "m"},
       {"x-token-count", number() + "," + number()},
       {"x-time-left-ms", number()},
       {"x-program-deadline-ms", number()},
       {"x-token-budget", number()},
-      {"x-prompt-prefix", inputs.chance(2) ? prefix : inputs.bytes(prefix)},
+      {"x-prompt-prefix", inputs.one_in(2) ? prefix : inputs.bytes(prefix)},
       {"cookie", inputs.bytes("a=b; X-Affinity-Key=c")},
       {"authorization", inputs.bytes("Token key")},
       {"x-cold-ms", number()},
       {"x-operation-key", inputs.bytes("key")}};
-  return head;
+  return headers;
 }
 
-// A few turns with the same odd head, each placed on the engines that the ones before have loaded.
-void feed_request_head(mutator& inputs) {
+// Routes several requests with the same headers, under the load that the earlier ones put on the engines.
+void feed_request_headers(mutator& inputs) {
   auto table = std::get<platform_protocol::configuration>(
-                   adapter().read_configuration(std::nullopt, {0, false, whole_configuration(7).dump()}))
+                   adapter().read_configuration(std::nullopt, {0, false, valid_configuration(7).dump()}))
                    .table;
   router::engine_pool pool;
-  list_engines(pool, *adapter().read_list(list_of_engines()));
-  auto metadata = adapter().read_request(odd_head(inputs));
+  set_engine_list(pool, *adapter().read_list(engine_list_text()));
+  auto metadata = adapter().read_request(drawn_headers(inputs));
   std::set<std::string> evacuated;
-  for (int turn = 0; turn < 6; ++turn) {
+  for (int number = 0; number < 6; ++number) {
     router::subject asked{table.routes[0], table.services[0], metadata, {}, 1};
     router::planning_context context{table, evacuated, "zone-a", 3, router::node_group{3, 0}, second, second};
     auto planned = router::make_plan(asked, pool, context, inputs.random());
@@ -188,35 +190,35 @@
     if (!made) break;
     pool.sent(made->engine, made->unread_tokens, second);
     pool.prefixes().note(made->engine, made->parts, second);
-    pool.answered(made->engine, adapter().read_response(200, odd_head(inputs)), second);
+    pool.answered(made->engine, adapter().read_response(200, drawn_headers(inputs)), second);
   }
 }
 
 void feed_platform_list(mutator& inputs) {
-  auto page = adapter().read_list(inputs.document(json::parse(list_of_engines())));
+  auto page = adapter().read_list(inputs.document(json::parse(engine_list_text())));
   router::engine_pool pool;
-  if (page) list_engines(pool, *page);
+  if (page) set_engine_list(pool, *page);
 }
 
-void feed_engine_answer(mutator& inputs) {
+void feed_engine_response(mutator& inputs) {
   adapter().read_report(
       inputs.document({{"active", 1}, {"backlog", 2}, {"cache_used", 3}, {"cache_cap", 4}}));
-  adapter().read_response(static_cast<int>(inputs.draw(700)), odd_head(inputs));
+  adapter().read_response(static_cast<int>(inputs.draw(700)), drawn_headers(inputs));
   router::event_scanner scanner(true);
   auto stream = inputs.bytes("id: 1\ndata: one\n\nid: 2\ndata: two\r\n\r\n: note\n\n");
   for (std::size_t from = 0; from < stream.size(); from += 3) scanner.feed(stream.substr(from, 3));
 }
 
-// Messages and documents as an earlier build wrote them, by name.
-const std::map<std::string, std::string>& recorded(const char* file) {
+// The recorded messages or documents of an earlier build, by name.
+const std::map<std::string, std::string>& recorded_data(const char* file) {
   static std::map<std::string, std::map<std::string, std::string>> read;
-  auto [place, fresh] = read.try_emplace(file);
-  if (!fresh) return place->second;
+  auto [entry, inserted] = read.try_emplace(file);
+  if (!inserted) return entry->second;
   std::ifstream in(std::string(TEST_DATA) + "/wire/" + file);
   for (std::string name, text; in >> name && in.ignore(1) && std::getline(in, text);)
-    place->second[name] = text;
-  if (place->second.empty()) throw std::runtime_error(std::string("no data in ") + file);
-  return place->second;
+    entry->second[name] = text;
+  if (entry->second.empty()) throw std::runtime_error(std::string("no data in ") + file);
+  return entry->second;
 }
 
 std::string from_hex(const std::string& text) {
@@ -244,37 +246,37 @@
 
 const message_readers& readers() {
   static const message_readers all = [] {
-    message_readers made;
+    message_readers result;
     add_readers<rpc::vote_request, rpc::put_content_request, rpc::read_chain_request,
                 rpc::list_records_request, rpc::read_records_request, rpc::catch_up_request,
                 rpc::checksums_request, rpc::identify_request, rpc::install_view_request,
                 rpc::repair_record_request, rpc::config_update_request, rpc::config_applied_request,
                 rpc::config_committed_request, rpc::probe_request, rpc::engine_list_request,
-                rpc::trace_request, rpc::quota_request>(made);
-    made["ballot"] = reader_of<rpc::ballot>("ballot");
-    made["member"] = reader_of<rpc::member>("member");
-    made["trace_event"] = reader_of<rpc::trace_event>("trace_event");
-    made["tenant_count"] = reader_of<rpc::tenant_count>("tenant_count");
-    made["envelope"] = reader_of<rpc::envelope>("envelope");
-    return made;
+                rpc::trace_request, rpc::quota_request>(result);
+    result["ballot"] = reader_of<rpc::ballot>("ballot");
+    result["member"] = reader_of<rpc::member>("member");
+    result["trace_event"] = reader_of<rpc::trace_event>("trace_event");
+    result["tenant_count"] = reader_of<rpc::tenant_count>("tenant_count");
+    result["envelope"] = reader_of<rpc::envelope>("envelope");
+    return result;
   }();
   return all;
 }
 
 void feed_message(mutator& inputs) {
-  auto& messages = recorded("messages.txt");
+  auto& messages = recorded_data("messages.txt");
   auto message = std::next(messages.begin(), static_cast<std::ptrdiff_t>(inputs.draw(messages.size())));
   auto body = inputs.bytes(from_hex(message->second));
   auto& reader = readers().at(message->first);
   reader(body, rpc::protocol_version - 1 + static_cast<int>(inputs.draw(3)));
-  rpc::envelope cover{rpc::protocol_version, message->first, "n", body};
-  auto sealed = rpc::encode_record("envelope", cover);
-  if (sealed) rpc::decode_record<rpc::envelope>("envelope", inputs.bytes(*sealed));
+  rpc::envelope envelope{rpc::protocol_version, message->first, "n", body};
+  auto encoded = rpc::encode_record("envelope", envelope);
+  if (encoded) rpc::decode_record<rpc::envelope>("envelope", inputs.bytes(*encoded));
 }
 
-// Texts that nodes store, or send each other inside messages.
+// Texts that nodes store or send to each other inside messages.
 void feed_record(mutator& inputs) {
-  auto& documents = recorded("documents.txt");
+  auto& documents = recorded_data("documents.txt");
   auto sample = std::next(documents.begin(), static_cast<std::ptrdiff_t>(inputs.draw(documents.size())));
   auto document = json::parse(sample->second, nullptr, false);
   auto text = document.is_discarded() ? inputs.bytes(sample->second) : inputs.document(document);
@@ -290,7 +292,7 @@
   ledger::turn_content_from_text(text);
 }
 
-// A disk whose files were damaged while the process was away.
+// Recovers a store from files that were damaged while its process was down.
 void feed_disk(mutator& inputs) {
   simulator::world world(inputs.draw(1000));
   world.machine("m", "z");
@@ -299,19 +301,19 @@
   logging::logger logger("m", [](auto&, auto&) {});
   world.boot("m");
   storage::log_store store(world.runtime_of("m"), options, logger);
-  if (store.recover()) throw std::logic_error("an empty disk can't be read");
+  if (store.recover()) throw std::logic_error("an empty disk can't be opened");
   std::vector<storage::change> changes;
   for (int number = 0; number < 4; ++number) changes.push_back({"k/" + std::to_string(number), "value"});
   world.runtime_of("m").spawn(
-      [](storage::log_store* written, std::vector<storage::change> batch) -> runtime::task<> {
-        co_await written->commit(std::move(batch), true);
+      [](storage::log_store* target, std::vector<storage::change> batch) -> runtime::task<> {
+        co_await target->commit(std::move(batch), true);
       }(&store, changes));
   world.run_for(second);
   for (auto& [name, file] : world.find("m").disk.files)
-    if (inputs.chance(2)) file.current = file.synced = inputs.bytes(file.current);
-  storage::log_store again(world.runtime_of("m"), options, logger);
-  again.recover();
-  for (auto& change : changes) again.read(change.key);
+    if (inputs.one_in(2)) file.current = file.synced = inputs.bytes(file.current);
+  storage::log_store recovered(world.runtime_of("m"), options, logger);
+  recovered.recover();
+  for (auto& change : changes) recovered.read(change.key);
 }
 
 }  // namespace
@@ -320,9 +322,9 @@
   static const std::vector<target> targets{{"configuration", feed_configuration},
                                            {"amendment", feed_amendment},
                                            {"operator_call", feed_operator_call},
-                                           {"request_head", feed_request_head},
+                                           {"request_head", feed_request_headers},
                                            {"platform_list", feed_platform_list},
-                                           {"engine_answer", feed_engine_answer},
+                                           {"engine_answer", feed_engine_response},
                                            {"message", feed_message},
                                            {"record", feed_record},
                                            {"disk", feed_disk}};
