--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -1,32 +1,33 @@
-"""Clients of a soak: each keeps its connection open and goes on using it until the process behind it has ended."""
+"""Clients of the soak test: each reuses its keep-alive connection until the process behind it ends, checks every response
+and reports violations to the history. They inject no faults (faults.py)."""
 import http.client
 import json
 import random
 import threading
 import time
 
-from history import CROSSING_SECONDS
+from history import CLOSE_RACE_SECONDS
 
 PARTNER, PROGRAM, ROUTE = "swanreach", "exchange", "labels"
 REQUEST_TIMEOUT_SECONDS = 25
 RETRY_PAUSE_SECONDS = 0.1
-# One unit of work may need this many requests, since its answers may be lost or refused.
+# Requests for one turn or call before it counts as failed: responses may be lost or refused.
 MAX_REQUESTS = 400
-TURNS_OF_A_PROGRAM = 8
-# A process that is killed, stands still, or whose agent is gone may leave a request without an answer.
-ABRUPT = ("kill", "freeze")
+TURNS_PER_PROGRAM = 8
+# Faults under which a process, or the agent next to it, may leave a request without a complete response.
+EXCUSING_FAULTS = ("kill", "freeze")
 
 
 class Lost(Exception):
-    """The connection ended, or stayed silent, without a whole answer."""
+    """The connection closed or timed out before a complete response."""
 
     def __init__(self, partial):
-        super().__init__("partial answer" if partial else "no answer")
+        super().__init__("partial response" if partial else "no response")
         self.partial = partial
 
 
 class Connection:
-    """A kept connection to one proxy."""
+    """A keep-alive connection to one proxy."""
 
     def __init__(self, name, address, history):
         host, port = address.split(":")
@@ -36,13 +37,13 @@
         self.open = True
 
     def post(self, path, body, headers):
-        """Status and body of a whole answer; a Lost that no trouble excuses is a violation."""
+        """Status and body of a complete response. Raises Lost, which is a violation unless a fault excuses it."""
         begun = time.time()
         try:
             return self._exchange(path, body, headers)
         except Lost as lost:
             self.close()
-            self._judge(lost, path, begun, time.time())
+            self._check_lost(lost, path, begun, time.time())
             raise
 
     def _exchange(self, path, body, headers):
@@ -58,14 +59,14 @@
             self.close()
         return response.status, text
 
-    def _judge(self, lost, path, begun, ended):
-        self._history.count("requests without a whole answer")
-        if self._history.troubled(self.name, begun, ended, ABRUPT):
+    def _check_lost(self, lost, path, begun, ended):
+        self._history.count("requests without a complete response")
+        if self._history.had_fault(self.name, begun, ended, EXCUSING_FAULTS):
             return
-        # A request that crosses the closing of its connection was never read.
-        allowed = CROSSING_SECONDS + self._history.lag.longest(begun, ended)
+        # A request that the client sends while the server closes the connection is never read.
+        allowed = CLOSE_RACE_SECONDS + self._history.lag.longest(begun, ended)
         if not lost.partial and ended - begun <= allowed:
-            self._history.count("requests that crossed a closing")
+            self._history.count("requests sent while the connection closed")
             return
         self._history.violate("LOST", "%s at %s: %s after %.3f s" % (path, self.name, lost, ended - begun))
 
@@ -75,7 +76,7 @@
 
 
 class Client(threading.Thread):
-    """Takes turns of programs and makes calls, one after the other, and checks what it is told."""
+    """Sends the turns of one program after the other, with a call after each turn, and checks the responses."""
 
     def __init__(self, number, seed, proxies, history, stop):
         super().__init__(daemon=True)
@@ -104,41 +105,42 @@
         return self._connection
 
     def _post(self, path, body, headers=None):
-        """One request over the kept connection; None: it ended without an answer."""
+        """One request over the keep-alive connection; None: no complete response."""
         try:
             status, text = self._connect().post(path, body, headers or {})
         except Lost:
             return None
-        self._history.count("answers %d" % status)
+        self._history.count("responses %d" % status)
         return status, text
 
-    def _until_done(self, what, attempt):
+    def _retry(self, what, attempt):
+        """The first result of `attempt` that isn't None; None: the soak was stopped meanwhile."""
         for _ in range(MAX_REQUESTS):
-            done = attempt()
-            if done is not None:
-                return done
+            result = attempt()
+            if result is not None:
+                return result
             if self._stop_event.is_set():
                 return None
             time.sleep(RETRY_PAUSE_SECONDS)
-        raise AssertionError("%s isn't done after %d requests" % (what, MAX_REQUESTS))
+        raise AssertionError("%s isn't complete after %d requests" % (what, MAX_REQUESTS))
 
     def _run_program(self, program):
         texts = []
-        for turn in range(TURNS_OF_A_PROGRAM):
-            told = self._take_turn(program, turn)
-            if told is None:
+        for turn in range(TURNS_PER_PROGRAM):
+            result = self._complete_turn(program, turn)
+            if result is None:
                 return
-            text, last = told
+            text, last = result
             stored = last.get("stored", False)
             assert stored or last["length"] == turn + 1, "%s lost turns: %s" % (program, last)
             texts.append(text)
             self._history.count("turns")
             self._make_call()
-        again = self._take_turn(program, 0)
+        again = self._complete_turn(program, 0)
         if again is not None:
-            assert again[1].get("stored") and again[0] == texts[0], "%s: a finished turn was not kept" % program
+            assert again[1].get("stored") and again[0] == texts[0], "%s: a complete turn was not stored" % program
 
-    def _take_turn(self, program, turn):
+    def _complete_turn(self, program, turn):
         path = "/v1/partners/%s/programs/%s:%s/turns" % (PARTNER, PROGRAM, program)
         body = {"turn": "t%d" % turn, "prompt": "word %d" % turn, "max_tokens": 6}
 
@@ -147,14 +149,14 @@
             if answer is None or answer[0] != 200:
                 return None
             lines = [json.loads(line) for line in answer[1].splitlines()]
-            assert [line["n"] for line in lines] == list(range(len(lines))), "a stream skips or repeats"
+            assert [line["n"] for line in lines] == list(range(len(lines))), "a stream has gaps or repetitions"
             if not lines or lines[-1].get("end") != "complete":
-                self._history.count("streams ended as cut")
+                self._history.count("incomplete streams")
                 return None
-            assert lines[-1]["pieces"] == len(lines) - 1, "a stream's last line counts wrongly"
+            assert lines[-1]["pieces"] == len(lines) - 1, "the count in a stream's last line is wrong"
             return "".join(line.get("text", "") for line in lines), lines[-1]
 
-        return self._until_done("turn %d of %s" % (turn, program), attempt)
+        return self._retry("turn %d of %s" % (turn, program), attempt)
 
     def _make_call(self):
         key = "%s-%d" % (self._name, len(self.keys))
@@ -165,6 +167,6 @@
             answer = self._post(path, {"k": key}, {"Idempotency-Key": key})
             return json.loads(answer[1])["code"] if answer is not None and answer[0] == 200 else None
 
-        codes = {self._until_done("call " + key, attempt) for _ in range(2)} - {None}
+        codes = {self._retry("call " + key, attempt) for _ in range(2)} - {None}
         assert len(codes) <= 1, "key %s has two results" % key
         self._history.count("calls")
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,5 @@
-"""Faults of a soak: signals, restarts and changes, drawn from a seed; they come in series and overlap."""
+"""Faults of the soak test: signals, restarts, disk losses and configuration changes, drawn from a seed. They follow each
+other closely and overlap, but stay within what the fleet must tolerate."""
 import json
 import os
 import shutil
@@ -14,17 +15,17 @@
 from fleetlib import TOKEN  # noqa: E402
 
 STOP_SECONDS = 8
-# Machines that keep data are whole again this long after the end of a trouble.
-WHOLE_AGAIN_SECONDS = 6
+# A core or storage group has recovered this long after the end of a fault.
+RECOVERY_SECONDS = 6
 EDGE_KINDS = ("term", "term", "kill", "hup", "freeze", "agent_kill", "agent_term")
 DATA_KINDS = ("term", "kill", "hup", "freeze", "wipe")
-# Until the others have given a silent core up, one of them owns its roles and has replaced a lost voter.
+# Long enough for the other cores to declare a silent core dead, take over its roles and replace a lost voter.
 TAKEOVER_SECONDS = 6
 CHANGE_TIMEOUT_SECONDS = 8
 
 
 def ask(address, method, path, body=None, headers=None, timeout=2):
-    """Status and text; 0: no answer."""
+    """Sends one request. Status and body; status 0: no response."""
     data = None if body is None else json.dumps(body).encode()
     request = urllib.request.Request("http://%s%s" % (address, path), data=data, method=method, headers=headers or {})
     try:
@@ -37,11 +38,11 @@
 
 
 class Processes:
-    """The fleet's processes: signals and starts, told to the history."""
+    """Signals and starts the fleet's processes, and records this in the history."""
 
     def __init__(self, fleet, history):
         self.fleet, self.history = fleet, history
-        # Guards the fleet's file and its table of process ids.
+        # Guards the fleet's state file and its process ids.
         self._lock = threading.Lock()
 
     def of_role(self, role):
@@ -56,67 +57,67 @@
 
     def check_running(self, name):
         if not self.fleet.alive(self.node(name)):
-            self.history.violate("ENDED", "%s had ended by itself" % name)
+            self.history.violate("ENDED", "%s had exited by itself" % name)
 
     def end(self, name, number, kind):
-        """Ends a process by a signal; one that withstands SIGTERM until the grace is over is a violation."""
+        """Ends a process by a signal. It is a violation if it still runs after STOP_SECONDS."""
         self.check_running(name)
-        spell = self.history.begin(name, kind)
+        fault = self.history.begin(name, kind)
         self.fleet.signal(self.node(name), number)
         until = time.time() + STOP_SECONDS
         while self.fleet.alive(self.node(name)) and time.time() < until:
             time.sleep(0.02)
         if self.fleet.alive(self.node(name)):
-            self.history.violate("GRACE", "%s still runs %d s after its notice" % (name, STOP_SECONDS))
+            self.history.violate("GRACE", "%s still runs %d s after its signal" % (name, STOP_SECONDS))
             self.history.begin(name, "kill")
             self.fleet.stop([self.node(name)], signal.SIGKILL, STOP_SECONDS)
-        return spell
+        return fault
 
     def restart(self, name, number, kind, pause):
-        spell = self.end(name, number, kind)
+        fault = self.end(name, number, kind)
         time.sleep(pause)
         self.start(name)
-        self.history.end(spell)
+        self.history.end(fault)
 
     def freeze(self, name, seconds):
         self.check_running(name)
-        spell = self.history.begin(name, "freeze")
+        fault = self.history.begin(name, "freeze")
         self.fleet.signal(self.node(name), signal.SIGSTOP)
         time.sleep(seconds)
         self.fleet.signal(self.node(name), signal.SIGCONT)
-        # What had come in meanwhile is worked off.
+        # Time to process what arrived while it was stopped.
         time.sleep(1)
-        self.history.end(spell)
+        self.history.end(fault)
 
-    def hang_up(self, name):
+    def send_sighup(self, name):
         self.check_running(name)
         self.fleet.signal(self.node(name), signal.SIGHUP)
 
-    def lose_for_good(self, name):
+    def kill_permanently(self, name):
         self.check_running(name)
         self.history.begin(name, "kill")
         self.fleet.stop([self.node(name)], signal.SIGKILL, STOP_SECONDS)
 
     def take_over(self, core, store):
-        """The first core stands still while a store loses its disk, so that another core acts in its place, and wakes."""
-        spell = self.history.begin(core, "freeze")
+        """Freezes a core while a storage node loses its disk, so that another core takes over, and then resumes it."""
+        fault = self.history.begin(core, "freeze")
         self.fleet.signal(self.node(core), signal.SIGSTOP)
         self.wipe(store, 0)
         time.sleep(TAKEOVER_SECONDS)
         self.fleet.signal(self.node(core), signal.SIGCONT)
         time.sleep(1)
-        self.history.end(spell)
+        self.history.end(fault)
 
     def wipe(self, name, pause):
-        spell = self.end(name, signal.SIGKILL, "kill")
+        fault = self.end(name, signal.SIGKILL, "kill")
         shutil.rmtree(os.path.join(self.fleet.folder, "data", name), ignore_errors=True)
         time.sleep(pause)
         self.start(name)
-        self.history.end(spell)
+        self.history.end(fault)
 
 
 class Operator:
-    """Changes the configuration, one change after the other, and remembers what was acknowledged."""
+    """Changes the configuration, one change at a time, and remembers the last acknowledged change."""
 
     def __init__(self, processes, random):
         self._processes, self._random = processes, random
@@ -127,7 +128,7 @@
         return self._processes.node(self._random.choice(self._processes.of_role("control_node")))["http"]
 
     def read(self):
-        """The version and its marker; None: no core could tell."""
+        """The version and the value of the changed limit; None: the core did not respond."""
         status, text = ask(self._core(), "GET", "/v1/desired", headers={"Authorization": "Bearer " + TOKEN})
         if status != 200:
             return None
@@ -138,8 +139,8 @@
         with self._lock:
             current = self.read()
             if current is None:
-                return self._processes.history.count("changes not begun")
-            # Kept above 1,000, so that the limit binds nobody.
+                return self._processes.history.count("changes not sent")
+            # Above 1,000, so that the limit refuses no client.
             self.sent = max(self.sent, 1000) + 1
             body = {"shared": {"limits": {"requests_per_client": self.sent}}}
             headers = {"Authorization": "Bearer " + TOKEN, "If-Match": str(current[0]), "Content-Type": "application/json"}
@@ -149,12 +150,12 @@
                 self.acknowledged = self.sent
 
 
-# What is drawn; a kind that stands here twice is drawn twice as often.
+# The kinds to draw from; a kind listed twice is drawn twice as often.
 KINDS = ("edge", "edge", "edge", "data", "data", "engine", "takeover", "change", "changes")
 
 
 class Injector:
-    """Draws faults and lets them run beside each other, within what the fleet has to bear."""
+    """Draws faults and runs them concurrently, within what the fleet must tolerate."""
 
     def __init__(self, processes, operator, random, kinds=KINDS):
         self._processes, self._operator, self._random, self._kinds = processes, operator, random, kinds
@@ -170,38 +171,38 @@
         thread.start()
         self._threads.append(thread)
 
-    def strike(self):
-        """One more fault, beside those that are under way."""
+    def inject(self):
+        """Starts one more fault beside those in progress; skips it if the fleet need not tolerate it now."""
         kind = self._random.choice(self._kinds)
         if kind == "edge":
-            self._strike_edge()
+            self._inject_edge_fault()
         elif kind == "engine":
-            self._strike_engine()
+            self._inject_engine_fault()
         elif kind == "takeover":
-            self._strike_owner()
+            self._inject_role_takeover()
         elif kind == "data":
-            self._strike_data(self._random.choice(("control_node", "storage_node")))
+            self._inject_data_fault(self._random.choice(("control_node", "storage_node")))
         else:
             for _ in range(1 if kind == "change" else 4):
                 self._spawn(self._operator.change)
 
-    def _strike_edge(self):
+    def _inject_edge_fault(self):
         proxies = self._processes.of_role("proxy")
         free = [name for name in proxies if name not in self._busy]
-        # Half of the proxies stay, so that somebody serves.
+        # At least half of the proxies stay up to serve the clients.
         if len(free) * 2 <= len(proxies):
             return
         name, kind = self._random.choice(free), self._random.choice(EDGE_KINDS)
         target = self._processes.node(name)["agent"] if kind.startswith("agent") else name
-        self._strike_process(name, target, kind.replace("agent_", ""), 0)
+        self._inject_process_fault(name, target, kind.replace("agent_", ""), 0)
 
-    def _strike_engine(self):
+    def _inject_engine_fault(self):
         engines = [name for name in self._processes.of_role("engine_stand_in") if name not in self._busy]
         if engines:
             name = self._random.choice(engines)
-            self._strike_process(name, name, self._random.choice(("term", "kill")), 0)
+            self._inject_process_fault(name, name, self._random.choice(("term", "kill")), 0)
 
-    def _strike_owner(self):
+    def _inject_role_takeover(self):
         roles = {"control_node", "storage_node"}
         if roles & self._busy:
             return
@@ -211,34 +212,34 @@
         self._processes.history.count("takeover")
 
         def release():
-            time.sleep(WHOLE_AGAIN_SECONDS)
+            time.sleep(RECOVERY_SECONDS)
             self._busy.difference_update(roles)
 
         self._spawn(self._processes.take_over, core, store, after=release)
 
-    def _strike_data(self, role):
-        # One loss at a time in each of the two groups: that is what three voters bear.
+    def _inject_data_fault(self, role):
+        # One loss at a time in each of the two groups: three voters tolerate no more.
         if role in self._busy:
             return
         name = self._random.choice(self._processes.of_role(role))
-        self._strike_process(role, name, self._random.choice(DATA_KINDS), WHOLE_AGAIN_SECONDS)
+        self._inject_process_fault(role, name, self._random.choice(DATA_KINDS), RECOVERY_SECONDS)
 
-    def _strike_process(self, claim, name, kind, rest):
+    def _inject_process_fault(self, claim, name, kind, recovery):
         self._busy.add(claim)
         pause = self._random.uniform(0, 1.5)
         seconds = self._random.uniform(0.2, 4)
         self._processes.history.count("%s of a %s" % (kind, self._processes.node(name)["role"]))
 
         def release():
-            time.sleep(rest)
+            time.sleep(recovery)
             self._busy.discard(claim)
 
-        works = {"term": lambda: self._processes.restart(name, signal.SIGTERM, "term", pause),
-                 "kill": lambda: self._processes.restart(name, signal.SIGKILL, "kill", pause),
-                 "hup": lambda: self._processes.hang_up(name),
-                 "freeze": lambda: self._processes.freeze(name, seconds),
-                 "wipe": lambda: self._processes.wipe(name, pause)}
-        self._spawn(works[kind], after=release)
+        faults = {"term": lambda: self._processes.restart(name, signal.SIGTERM, "term", pause),
+                  "kill": lambda: self._processes.restart(name, signal.SIGKILL, "kill", pause),
+                  "hup": lambda: self._processes.send_sighup(name),
+                  "freeze": lambda: self._processes.freeze(name, seconds),
+                  "wipe": lambda: self._processes.wipe(name, pause)}
+        self._spawn(faults[kind], after=release)
 
     def wait(self):
         for thread in self._threads:
--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -1,16 +1,17 @@
-"""What was done to each process of the fleet and when, so that what a client saw can be judged by it."""
+"""Records the faults of each process with their times, so that a client's lost request can be excused by a fault or counted
+as a violation. It also collects all violations and counts. It injects nothing itself (faults.py)."""
 import collections
 import threading
 import time
 
-# The longest that a message may be on its way when a connection is closed under it.
-CROSSING_SECONDS = 0.2
-# Around a kill or a freeze: the moment at which it takes effect isn't known better.
+# The longest time that a request may be in flight when the server closes its connection.
+CLOSE_RACE_SECONDS = 0.2
+# Added before and after a fault: the time at which a signal takes effect isn't known more precisely.
 TOLERANCE_SECONDS = 0.5
 
 
-class Spell:
-    """A trouble of one process from `begun` to `ended` (None: it goes on)."""
+class Fault:
+    """A fault of one process from `begun` to `ended` (None: it still lasts), in seconds since the epoch."""
 
     def __init__(self, process, kind):
         self.process, self.kind = process, kind
@@ -23,7 +24,7 @@
 
 
 class LagMeter(threading.Thread):
-    """Measures how late this very process is woken, so that its own delays aren't taken for the fleet's."""
+    """Measures how late this process is woken, so that its own delays aren't attributed to the fleet."""
 
     PERIOD_SECONDS = 0.02
 
@@ -33,10 +34,10 @@
 
     def run(self):
         while True:
-            asked = time.time()
+            start = time.time()
             time.sleep(self.PERIOD_SECONDS)
             woken = time.time()
-            self._lags.append((woken, woken - asked - self.PERIOD_SECONDS))
+            self._lags.append((woken, woken - start - self.PERIOD_SECONDS))
 
     def longest(self, begun, ended):
         margin = 2 * self.PERIOD_SECONDS
@@ -44,32 +45,34 @@
 
 
 class History:
+    """Shared by all threads of a run."""
+
     def __init__(self):
         self.lag = LagMeter()
         self.lag.start()
         self._lock = threading.Lock()
-        self._spells = []
+        self._faults = []
         self._violations = []
         self._counts = {}
 
     def begin(self, process, kind):
-        spell = Spell(process, kind)
+        fault = Fault(process, kind)
         with self._lock:
-            self._spells.append(spell)
-        return spell
+            self._faults.append(fault)
+        return fault
 
-    def end(self, spell):
-        spell.ended = time.time()
+    def end(self, fault):
+        fault.ended = time.time()
 
-    def troubled(self, process, begun, ended, kinds):
-        """Whether one of these troubles of the process overlaps the span."""
+    def had_fault(self, process, begun, ended, kinds):
+        """Whether a fault of one of these kinds affected the process between these times."""
         with self._lock:
-            return any(spell.process == process and spell.kind in kinds and spell.overlaps(begun, ended)
-                       for spell in self._spells)
+            return any(fault.process == process and fault.kind in kinds and fault.overlaps(begun, ended)
+                       for fault in self._faults)
 
-    def violate(self, rule, what):
+    def violate(self, rule, description):
         with self._lock:
-            self._violations.append("%s: %s" % (rule, what))
+            self._violations.append("%s: %s" % (rule, description))
 
     def count(self, name):
         with self._lock:
--- a/tests/soak/main.py
+++ b/tests/soak/main.py
@@ -1,10 +1,10 @@
-"""Soak: a fleet of real processes under clients that keep their connections, and faults drawn from a seed.
+"""Soak test: a fleet of real processes under clients with keep-alive connections, and faults drawn from a seed.
 
 Usage: main.py ROOT BUILD --seeds A..B [--seconds N] [--edges N] [--clients N]
 
-Every run ends with a loss of all processes at once on odd seeds, with the loss of one more disk in each group, and with
-a storage machine that never comes back: what was acknowledged must be there, and each group of voters whole before. Exit code 1: a run broke a rule; its seed, what it
-broke and its counts are printed."""
+At the end of each run, odd seeds kill all processes at once; then each group of voters loses one more disk, and one
+storage node is killed for good. Before each of these each group must have all its voters again, and in the end everything
+acknowledged must still be there. Exit code 1: a run violated a rule; its seed, violations and counts are printed."""
 import argparse
 import json
 import os
@@ -27,8 +27,8 @@
 READY_SECONDS = 30
 VOTERS_SECONDS = 40
 MAX_FAULT_GAP_SECONDS = 1.0
-CLOSING_TRAFFIC_SECONDS = 2
-SHOWN_VIOLATIONS = 8
+FINAL_TRAFFIC_SECONDS = 2
+MAX_PRINTED_VIOLATIONS = 8
 
 
 def run_fleet(arguments, folder, *words):
@@ -48,7 +48,7 @@
 
 
 def view_of(processes, name):
-    """The number of the view that the voter has installed; 0: none, or no answer."""
+    """The number of the view that the voter has installed; 0: none, or no response."""
     _, text = ask(processes.node(name)["http"], "GET", "/metrics")
     for line in text.splitlines():
         if line.startswith("herontally_view "):
@@ -57,6 +57,8 @@
 
 
 class Run:
+    """One seed: injects faults into a running fleet, and checks the result."""
+
     def __init__(self, arguments, seed, folder):
         self.arguments, self.seed, self.folder = arguments, seed, folder
         self.random = random.Random(seed)
@@ -70,78 +72,78 @@
     def proxies(self):
         return [(name, self.processes.node(name)["http"]) for name in self.processes.of_role("proxy")]
 
-    def product(self):
+    def product_nodes(self):
         return [name for role in PRODUCT_ROLES for name in self.processes.of_role(role)]
 
-    def play(self):
+    def run(self):
         for client in self.clients:
             client.start()
         injector = Injector(self.processes, self.operator, self.random, self.arguments.kinds)
         end = time.time() + self.arguments.seconds
         while time.time() < end:
-            injector.strike()
+            injector.inject()
             time.sleep(self.random.uniform(0, MAX_FAULT_GAP_SECONDS))
         injector.wait()
         self.check_service("the faults")
         if self.seed % 2:
-            self.lose_all()
+            self.kill_all()
             self.check_service("a loss of all processes")
-        self.lose_disk()
+        self.wipe_disks()
         self.missing = self.random.choice(self.processes.of_role("storage_node"))
-        self.processes.lose_for_good(self.missing)
-        time.sleep(CLOSING_TRAFFIC_SECONDS)
+        self.processes.kill_permanently(self.missing)
+        time.sleep(FINAL_TRAFFIC_SECONDS)
         if not wait_until(self.all_ready, READY_SECONDS):
-            self.history.violate("RECOVER", "not every proxy is ready without %s" % self.missing)
+            self.history.violate("RECOVER", "not every proxy is ready after the loss of %s" % self.missing)
         self.stop.set()
         for client in self.clients:
             client.join()
-        self.check_kept()
+        self.check_acknowledged()
 
     def check_service(self, after):
         if not wait_until(self.all_ready, READY_SECONDS):
             self.history.violate("RECOVER", "not every proxy is ready %d s after %s" % (READY_SECONDS, after))
         for role in ("control_node", "storage_node"):
-            if not wait_until(lambda: self.is_whole(role), VOTERS_SECONDS):
+            if not wait_until(lambda: self.views_agree(role), VOTERS_SECONDS):
                 views = {name: view_of(self.processes, name) for name in self.processes.of_role(role)}
-                self.history.violate("VOTERS", "not whole %d s after %s: %s" % (VOTERS_SECONDS, after, views))
+                self.history.violate("VOTERS", "the voters don't share one installed view %d s after %s: %s" % (VOTERS_SECONDS, after, views))
 
     def all_ready(self):
         return all(ask(address, "GET", "/readyz")[0] == 200 for _, address in self.proxies())
 
-    def is_whole(self, role):
+    def views_agree(self, role):
         views = {view_of(self.processes, name) for name in self.processes.of_role(role)}
         return len(views) == 1 and views != {0}
 
-    def lose_all(self):
-        names = self.product()
-        spells = [self.history.begin(name, "kill") for name in names]
+    def kill_all(self):
+        names = self.product_nodes()
+        faults = [self.history.begin(name, "kill") for name in names]
         for name in names:
             self.processes.check_running(name)
             self.processes.fleet.signal(self.processes.node(name), signal.SIGKILL)
         self.processes.fleet.stop([self.processes.node(name) for name in names], signal.SIGKILL, 1)
         for name in names:
             self.processes.start(name)
-        for spell in spells:
-            self.history.end(spell)
+        for fault in faults:
+            self.history.end(fault)
 
-    def lose_disk(self):
-        """One more loss in each group, which a group that was not repaired can't bear."""
+    def wipe_disks(self):
+        """Wipes one disk in each group, which a group that has not recovered from the earlier faults can't tolerate."""
         for role in ("storage_node", "control_node"):
             self.processes.wipe(self.random.choice(self.processes.of_role(role)), 0)
-            self.check_service("the last loss of a disk of a %s" % role)
+            self.check_service("the last disk loss of a %s" % role)
 
-    def check_kept(self):
-        told = []
+    def check_acknowledged(self):
+        results = []
 
         def read():
-            told.append(self.operator.read())
-            return told[-1] is not None
+            results.append(self.operator.read())
+            return results[-1] is not None
 
         if not wait_until(read, READY_SECONDS):
-            self.history.violate("CONFIG", "no core tells the configuration")
-        elif not self.operator.acknowledged <= told[-1][1] <= self.operator.sent and self.operator.acknowledged:
-            self.history.violate("CONFIG", "change %d was acknowledged, %d is in force" % (self.operator.acknowledged, told[-1][1]))
-        for name in self.product():
+            self.history.violate("CONFIG", "no core returns the configuration")
+        elif not self.operator.acknowledged <= results[-1][1] <= self.operator.sent and self.operator.acknowledged:
+            self.history.violate("CONFIG", "change %d was acknowledged, %d is in force" % (self.operator.acknowledged, results[-1][1]))
+        for name in self.product_nodes():
             if name != self.missing:
                 self.processes.check_running(name)
         self.check_notices()
@@ -150,14 +152,14 @@
                 self.check_key(key)
 
     def check_notices(self):
-        """Whoever was told to end has answered every request that it had read; its last line tells."""
+        """A proxy that ended on notice must have answered every request that it had read, by its last log line."""
         for name in self.processes.of_role("proxy"):
             with open(os.path.join(self.folder, "logs", name + ".log"), encoding="utf-8", errors="replace") as log:
-                ends = [json.loads(line) for line in log if '"ended on notice"' in line]
-            for end in ends:
-                self.history.count("ends on notice")
+                exits = [json.loads(line) for line in log if '"ended on notice"' in line]
+            for end in exits:
+                self.history.count("orderly exits")
                 if end["unanswered"] > 0:
-                    self.history.violate("UNANSWERED", "%s ended with %d requests that it had read" % (name, end["unanswered"]))
+                    self.history.violate("UNANSWERED", "%s exited with %d unanswered requests that it had read" % (name, end["unanswered"]))
 
     def check_key(self, key):
         runs = 0
@@ -167,23 +169,23 @@
             status, text = ask(self.processes.node(name)["http"], "GET", "/v1/outcome", headers={"Idempotency-Key": key})
             runs += json.loads(text)["times"] if status == 200 else 0
         if runs > 1:
-            self.history.violate("TWICE", "key %s ran %d times" % (key, runs))
+            self.history.violate("TWICE", "key %s was executed %d times" % (key, runs))
 
 
-def play_seed(arguments, seed):
+def run_seed(arguments, seed):
     folder = tempfile.mkdtemp(prefix="soak-")
     run = None
     try:
         run_fleet(arguments, folder, "up", "swanreach", "--edges", str(arguments.edges), "--log_level", "INFO")
         run = Run(arguments, seed, folder)
-        run.play()
+        run.run()
         violations = run.history.violations()
     finally:
         if run:
             run.stop.set()
         run_fleet(arguments, folder, "down")
-    print("seed %d: %s %s" % (seed, "broken" if violations else "kept", run.history.counts()), flush=True)
-    for violation in violations[:SHOWN_VIOLATIONS]:
+    print("seed %d: %s %s" % (seed, "failed" if violations else "passed", run.history.counts()), flush=True)
+    for violation in violations[:MAX_PRINTED_VIOLATIONS]:
         print("  " + violation, flush=True)
     if violations and arguments.keep:
         kept = os.path.join(arguments.keep, "seed-%d" % seed)
@@ -198,16 +200,16 @@
     parser.add_argument("root")
     parser.add_argument("build")
     parser.add_argument("--seeds", default="1..1", help="as A..B")
-    parser.add_argument("--seconds", type=float, default=20, help="how long faults are struck in each run")
+    parser.add_argument("--seconds", type=float, default=20, help="how long faults are injected in each run")
     parser.add_argument("--edges", type=int, default=4)
     parser.add_argument("--clients", type=int, default=12)
     parser.add_argument("--kinds", type=lambda text: tuple(text.split(",")), default=KINDS,
-                        help="what faults are drawn from, with commas between")
-    parser.add_argument("--keep", help="a folder that takes the logs of broken runs")
+                        help="kinds of faults to draw from, comma-separated")
+    parser.add_argument("--keep", help="a folder for the logs of failed runs")
     arguments = parser.parse_args()
     first, last = (int(part) for part in arguments.seeds.split(".."))
-    results = [play_seed(arguments, seed) for seed in range(first, last + 1)]
-    print("%d seeds, %d broken" % (len(results), results.count(False)))
+    results = [run_seed(arguments, seed) for seed in range(first, last + 1)]
+    print("%d seeds, %d failed" % (len(results), results.count(False)))
     sys.exit(0 if all(results) else 1)
 
 
