--- a/tests/check_glossary_test.py
+++ b/tests/check_glossary_test.py
@@ -1,4 +1,5 @@
-"""Withdrawn terms are read from the glossary and found as parts of identifiers, and nowhere else."""
+"""Tests tools/check-glossary: it reads the withdrawn terms from the glossary and must report them as words of identifiers, and
+nowhere else."""
 import os, subprocess, sys, tempfile, unittest
 
 TOOL = os.path.join(os.path.dirname(os.path.dirname(os.path.abspath(__file__))), "tools", "check-glossary")
@@ -23,9 +24,9 @@
 
 class CheckGlossary(unittest.TestCase):
     def setUp(self):
-        held = tempfile.TemporaryDirectory()
-        self.addCleanup(held.cleanup)
-        self.root = held.name
+        folder = tempfile.TemporaryDirectory()
+        self.addCleanup(folder.cleanup)
+        self.root = folder.name
 
     def write(self, name, text):
         path = os.path.join(self.root, name)
@@ -45,22 +46,22 @@
         self.assertEqual(result.returncode, 0, result.stdout)
         self.assertIn("2 withdrawn terms", result.stdout)
 
-    def test_each_case_of_names_is_taken_apart(self):
+    def test_names_are_split_into_words_in_every_letter_case(self):
         for name in ("visit", "http_visit", "visits", "HttpVisit", "visitPage", "MOST_VISITS", "visit2", "Gift"):
             result = self.check("int good;\nint %s;\n" % name)
             self.assertEqual(result.returncode, 1, name)
             self.assertEqual(result.stdout, "src/a/b.cc:2: %s\n" % name)
 
-    def test_headers_and_the_adapter_are_read_too(self):
+    def test_headers_and_the_adapter_are_checked(self):
         for path in ("src/a/b.h", "platform/c.cc"):
             self.assertIn(path + ":1: gift", self.check("int gift;", name=path).stdout)
             os.remove(os.path.join(self.root, path))
 
-    def test_the_standard_library_keeps_its_names(self):
+    def test_names_of_the_standard_library_are_allowed(self):
         self.assertEqual(self.check("auto x = std::visit(each, one);\n").returncode, 0)
         self.assertEqual(self.check("auto x = our::visit(each, one);\n").returncode, 1)
 
-    def test_a_word_kept_on_the_wire_may_stand_in_a_literal_alone(self):
+    def test_a_word_kept_on_the_wire_is_allowed_in_its_literal_only(self):
         page = PAGE.replace("## Withdrawn", "## Kept on the wire\n\n| word | where |\n|---|---|\n"
                             "| `visit_ask`, `/v1/gift` | messages, `visit` |\n\n## Withdrawn")
         self.assertEqual(self.check('auto kind = "visit_ask"; path("/v1/gift");\n', page).returncode, 0)
--- a/tests/debian_packages.py
+++ b/tests/debian_packages.py
@@ -1,15 +1,16 @@
-"""The installed Debian packages: which one owns a file, and what a list of packages brings along when it is installed."""
+"""Queries the installed Debian packages through dpkg-query: which package owns a file, and which packages a list of packages
+depends on. It installs and downloads nothing."""
 import os, re, subprocess
 
 
 def query(*arguments):
-    """Output of dpkg-query. A failure is left to the caller: asking for an unowned file is one, beside other answers."""
+    """Output of dpkg-query. Its exit code is ignored: it also fails if only some of the queried files have no owner."""
     result = subprocess.run(["dpkg-query", *arguments], stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, text=True)
     return result.stdout
 
 
 def parse_alternatives(relation):
-    """The names of one relation, such as `a (>= 1) | b:any`, in order."""
+    """The package names of one relation, such as `a (>= 1) | b:any`, in order."""
     return [re.sub(r"[:\s(\[].*", "", choice.strip()) for choice in relation.split("|")]
 
 
@@ -19,7 +20,7 @@
 
 
 def spellings(path):
-    """The names under which a package may own a file: /bin, /lib and /sbin are links to the folders under /usr."""
+    """The paths under which a package may list a file, since /bin, /lib and /sbin are links to the folders under /usr."""
     names = [path]
     for folder in ("/bin/", "/sbin/", "/lib/", "/lib32/", "/lib64/", "/libx32/"):
         if path.startswith("/usr" + folder):
@@ -30,7 +31,7 @@
 
 
 class InstalledPackages:
-    """The database of dpkg, read once. Recommended packages are left out: not every installation brings them."""
+    """The database of dpkg, read once. Recommended packages are ignored, since not every installation includes them."""
 
     def __init__(self):
         self.depends = {}
@@ -48,7 +49,7 @@
                 self.providers.setdefault(names[0], []).append(package)
 
     def installed_choice(self, alternatives):
-        """The package that satisfies a relation here, or None."""
+        """The installed package that satisfies a relation, or None."""
         for name in alternatives:
             if name in self.depends:
                 return name
@@ -59,16 +60,16 @@
     def closure(self, names):
         """These packages and the essential ones, with everything that they depend on."""
         found = set()
-        waiting = list(names) + list(self.essential)
-        while waiting:
-            package = self.installed_choice([waiting.pop()])
+        pending = list(names) + list(self.essential)
+        while pending:
+            package = self.installed_choice([pending.pop()])
             if package is None or package in found:
                 continue
             found.add(package)
             for alternatives in self.depends[package]:
                 choice = self.installed_choice(alternatives)
                 if choice:
-                    waiting.append(choice)
+                    pending.append(choice)
         return found
 
     def files_of(self, packages):
@@ -77,17 +78,17 @@
         return {os.path.realpath(line) for line in listed.splitlines() if line.startswith("/")}
 
     def owners(self, paths):
-        """A map from each path to the package that owns it, None for a file of nobody."""
-        wanted = {}
+        """A map from each path to the package that owns it; None for a file that no package owns."""
+        paths_by_name = {}
         for path in paths:
             for name in spellings(path):
-                wanted.setdefault(name, set()).add(path)
+                paths_by_name.setdefault(name, set()).add(path)
         owners = dict.fromkeys(paths)
-        for line in query("--search", *sorted(wanted)).splitlines():
+        for line in query("--search", *sorted(paths_by_name)).splitlines():
             packages, separator, name = line.partition(": ")
             if not separator or packages.startswith("diversion "):
                 continue
             package = packages.split(",")[0].split(":")[0].strip()
-            for path in wanted.get(name, ()):
+            for path in paths_by_name.get(name, ()):
                 owners[path] = package
         return owners
--- a/tests/deploy_build.py
+++ b/tests/deploy_build.py
@@ -1,12 +1,13 @@
-"""The build of the deploy file, carried out in a scratch folder, and the system's files that it opened."""
+"""Runs the deploy file's build command in a temporary copy of the source, and lists the system files that the build opened.
+Which packages own them is checked in deploy_packages_test.py."""
 import glob, os, re, shutil, signal, subprocess, tomllib
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
-# Built things, scratch folders and records of runs are no part of a clean checkout.
+# Build output, scratch folders and records of runs, which a clean checkout doesn't contain.
 NOT_IN_CHECKOUT = re.compile(r"build.*|target|journal|\.git|__pycache__")
 BUILD_JOBS = 4
-BUILD_SECONDS = 540
-# What the compiler and the linker start themselves.
+BUILD_TIMEOUT_SECONDS = 540
+# Programs that the compiler driver and the linker start.
 COMPILER_PROGRAMS = ("cc1plus", "as", "collect2", "ld")
 
 
@@ -15,12 +16,12 @@
         return tomllib.load(source)
 
 
-def left_out_of_checkout(folder, names):
+def excluded_from_checkout(folder, names):
     return [name for name in names if folder == ROOT and NOT_IN_CHECKOUT.fullmatch(name)]
 
 
 def link_programs(folder, files):
-    """Fills a folder with links to the programs among these files, and to the system's other names for them."""
+    """Creates a folder with a link for each name in the system's program folders that leads to one of these files."""
     os.makedirs(folder)
     for system_folder in ("/usr/sbin", "/usr/bin"):
         for name in os.listdir(system_folder):
@@ -31,13 +32,13 @@
 
 
 def files_in_make_rules(text):
-    """The prerequisites of rules as compilers write them."""
+    """The prerequisites in make rules as compilers write them."""
     words = text.replace("\\\n", " ").replace("\\ ", "\0").split()
     return {word.replace("\0", " ") for word in words if word.startswith("/") and not word.endswith(":")}
 
 
 def with_link_targets(path):
-    """A file's name and, where it is a link, all that it leads to: the links may be of other packages than the file."""
+    """A path and, if it is a link, the paths of all its targets: links may belong to other packages than their targets."""
     names = [os.path.normpath(path)]
     while os.path.islink(names[-1]):
         target = os.path.join(os.path.dirname(names[-1]), os.readlink(names[-1]))
@@ -51,25 +52,26 @@
 
 
 class DeployBuild:
-    """A clean checkout in `folder`, built by the deploy file's own command with no programs but those given."""
+    """A clean checkout in `folder`, built by the deploy file's own command with only the given programs on the PATH."""
 
     def __init__(self, folder, programs):
         self.checkout = os.path.join(folder, "checkout")
         self.target = os.path.join(self.checkout, "target")
         self.programs = os.path.join(folder, "programs")
-        shutil.copytree(ROOT, self.checkout, ignore=left_out_of_checkout)
+        shutil.copytree(ROOT, self.checkout, ignore=excluded_from_checkout)
         link_programs(self.programs, programs)
         self.environment = {"PATH": self.programs, "HOME": folder, "LANG": "C.UTF-8"}
-        # The linker names each file that it opens.
+        # Makes the linker print each file that it opens.
         self.environment["LDFLAGS"] = "-Wl,--trace"
 
     def run(self):
+        """The exit code of the build, with its output in `output`. Raises TimeoutExpired after BUILD_TIMEOUT_SECONDS."""
         command = re.sub(r"-j *\d+", "-j%d" % BUILD_JOBS, read_deploy_file()["build"])
-        # A session of its own, so that a build that takes too long ends with all its processes.
+        # A session of its own, so that all processes of a build that times out can be killed.
         build = subprocess.Popen(["/bin/sh", "-c", command], cwd=self.checkout, env=self.environment, text=True,
                                  stdout=subprocess.PIPE, stderr=subprocess.STDOUT, start_new_session=True)
         try:
-            self.output, _ = build.communicate(timeout=BUILD_SECONDS)
+            self.output, _ = build.communicate(timeout=BUILD_TIMEOUT_SECONDS)
         except subprocess.TimeoutExpired:
             os.killpg(build.pid, signal.SIGKILL)
             raise
@@ -96,7 +98,7 @@
         return re.findall(r"^([^#/:][^:]*):([A-Z]+)=(.+)$", cache, re.MULTILINE)
 
     def found_files(self):
-        """cmake itself, and the tools and libraries that it found."""
+        """cmake itself, and the tools and libraries that it has found."""
         return {value for name, kind, value in self.cache_entries()
                 if value.startswith("/") and (kind == "FILEPATH" or name == "CMAKE_COMMAND")}
 
@@ -107,38 +109,38 @@
         return result.stdout
 
     def pkg_config_files(self):
-        """The .pc files of the modules that cmake asked for, and of all that these require."""
-        waiting = [value for name, _, value in self.cache_entries() if name.endswith("_MODULE_NAME")]
+        """The .pc files of the modules that cmake queried, and of all modules that these require."""
+        pending = [value for name, _, value in self.cache_entries() if name.endswith("_MODULE_NAME")]
         files = {}
-        while waiting:
-            module = waiting.pop()
+        while pending:
+            module = pending.pop()
             if module in files:
                 continue
             folder = self.pkg_config("--variable=pcfiledir", module).strip()
             files[module] = os.path.join(folder, module + ".pc")
             required = self.pkg_config("--print-requires", "--print-requires-private", module)
-            waiting += [line.split()[0] for line in required.splitlines() if line.strip()]
+            pending += [line.split()[0] for line in required.splitlines() if line.strip()]
         return set(files.values())
 
     def compiler_programs(self):
         compiler = os.path.join(self.programs, "g++")
         files = set()
         for name in COMPILER_PROGRAMS:
-            shown = subprocess.run([compiler, "-print-prog-name=" + name], env=self.environment, text=True,
+            result = subprocess.run([compiler, "-print-prog-name=" + name], env=self.environment, text=True,
                                    stdout=subprocess.PIPE, check=True)
-            files.add(shutil.which(shown.stdout.strip(), path=self.programs))
+            files.add(shutil.which(result.stdout.strip(), path=self.programs))
         return files
 
     def shared_libraries(self):
-        """What the built program loads when it starts."""
+        """The shared libraries that the built program loads when it starts."""
         program = os.path.join(self.target, "herontally")
-        shown = subprocess.run(["ldd", program], text=True, stdout=subprocess.PIPE, check=True)
-        return set(re.findall(r"(/\S+) \(0x", shown.stdout))
+        result = subprocess.run(["ldd", program], text=True, stdout=subprocess.PIPE, check=True)
+        return set(re.findall(r"(/\S+) \(0x", result.stdout))
 
     def opened_files(self):
-        """Every file outside the checkout that the build needed, links and their targets alike."""
+        """Every file outside the checkout that the build needed; both the links and their targets."""
         parts = (self.compiled_files(), self.linked_files(), self.cmake_files(), self.found_files(),
                  self.pkg_config_files(), self.compiler_programs(), self.shared_libraries())
         paths = {name for part in parts for path in part for name in with_link_targets(path)}
-        own = (self.checkout + os.sep, self.programs + os.sep)
-        return {path for path in paths if not path.startswith(own)}
+        own_folders = (self.checkout + os.sep, self.programs + os.sep)
+        return {path for path in paths if not path.startswith(own_folders)}
--- a/tests/deploy_file.h
+++ b/tests/deploy_file.h
@@ -1,4 +1,4 @@
-// The deploy file's roles, and which machines of a deployment run them.
+// Reads from the deploy file on how many machines a role runs. For tests; the path is the macro DEPLOY_FILE.
 #pragma once
 #include <toml++/toml.h>
 
@@ -9,7 +9,8 @@
 
 namespace herontally::deploy_file {
 
-// The part of each zone's machines that runs the role.
+// The fraction of each zone's machines that run the role. Throws std::runtime_error if the file has none for
+// it.
 inline double share_of(const std::string& role) {
   auto document = toml::parse_file(DEPLOY_FILE);
   auto share = document["roles"][role]["share"].value<double>();
@@ -17,7 +18,7 @@
   return *share;
 }
 
-// By zone: `share` of its machines, rounded up.
+// For each zone, `share` of its machines, rounded up.
 inline std::vector<int> machines_in_use(const std::vector<int>& machines_by_zone, double share) {
   std::vector<int> in_use;
   in_use.reserve(machines_by_zone.size());
--- a/tests/deploy_packages_test.py
+++ b/tests/deploy_packages_test.py
@@ -1,14 +1,14 @@
-"""`packages` in deploy/system.toml lists every Debian package that a clean build needs: the build's own command runs with
-the programs of these packages alone, and each file of the system that it opens belongs to one of them, or to one that they
-depend on."""
+"""Tests that `packages` in deploy/system.toml lists every Debian package that a clean build needs: the build command runs with
+only the programs of these packages, and each system file that it opens must belong to one of them or of their
+dependencies."""
 import os, shutil, sys, tempfile, unittest
 
 sys.path.insert(0, os.path.dirname(os.path.abspath(__file__)))
 import debian_packages
 from deploy_build import DeployBuild, files_in_make_rules, read_deploy_file
 
-# Each way of finding what was opened must have seen this; else it has gone blind.
-SEEN_BY = {
+# A file that each source of opened files must report; otherwise the source no longer works.
+EXPECTED_FILES = {
     "compiled_files": "/usr/include/nlohmann/json.hpp",
     "linked_files": "/libevent.a",
     "cmake_files": "/abslConfig.cmake",
@@ -20,7 +20,8 @@
 
 
 def owners_of(installed, paths):
-    """A map from each file to its package. Links of nobody, such as alternatives, are left out: their targets are here."""
+    """A map from each file to its package. Links that no package owns, such as alternatives, are omitted: their targets are
+    in the map."""
     owners = installed.owners(paths)
     return {path: owner for path, owner in owners.items() if owner or not os.path.islink(path)}
 
@@ -40,30 +41,31 @@
     def setUp(self):
         self.assertEqual(self.exit_code, 0, self.build.output[-4000:])
 
-    def uncovered(self, packages):
-        """Needed packages that these don't bring, each with one of its files; None for files of no package."""
-        brought = self.installed.closure(packages)
-        return {owner: path for path, owner in self.owners.items() if owner not in brought}
+    def missing_packages(self, packages):
+        """The needed packages that installing these would not install, each with one of its files. The key None stands for files
+        that no package owns."""
+        covered = self.installed.closure(packages)
+        return {owner: path for path, owner in self.owners.items() if owner not in covered}
 
     def test_every_listed_package_is_installed(self):
         for package in self.listed:
             self.assertIsNotNone(self.installed.installed_choice([package]), package)
 
     def test_every_opened_file_belongs_to_a_listed_package_or_a_dependency(self):
-        self.assertEqual(self.uncovered(self.listed), {})
+        self.assertEqual(self.missing_packages(self.listed), {})
 
-    def test_each_source_of_opened_files_sees_something(self):
-        for source, part in SEEN_BY.items():
+    def test_each_source_of_opened_files_reports_an_expected_file(self):
+        for source, part in EXPECTED_FILES.items():
             files = getattr(self.build, source)()
             self.assertTrue([path for path in files if part in path], source)
 
-    def test_a_package_taken_off_the_list_is_noticed(self):
+    def test_a_package_removed_from_the_list_is_detected(self):
         for package in self.listed:
             others = [name for name in self.listed if name != package]
             if self.installed.installed_choice([package]) in self.installed.closure(others):
                 continue
             with self.subTest(package=package):
-                self.assertNotEqual(self.uncovered(others), {})
+                self.assertNotEqual(self.missing_packages(others), {})
 
 
 class Parsing(unittest.TestCase):
@@ -72,12 +74,12 @@
         self.assertEqual(parsed, [["gcc-12"], ["libc-dev", "libc6-dev"], ["python3"]])
         self.assertEqual(debian_packages.parse_relations(" , "), [])
 
-    def test_a_file_has_its_name_before_the_merge_of_usr_as_well(self):
+    def test_a_file_under_usr_also_has_its_path_from_before_the_usr_merge(self):
         self.assertEqual(debian_packages.spellings("/usr/lib/x.so"), ["/usr/lib/x.so", "/lib/x.so"])
         self.assertEqual(debian_packages.spellings("/bin/sh"), ["/bin/sh", "/usr/bin/sh"])
         self.assertEqual(debian_packages.spellings("/usr/include/x.h"), ["/usr/include/x.h"])
 
-    def test_rules_of_a_compiler(self):
+    def test_make_rules_of_a_compiler(self):
         rules = "x.o: /src/x.cc \\\n /usr/include/a\\ b.h \\\n /usr/include/c.h\n/usr/include/c.h:\n"
         self.assertEqual(files_in_make_rules(rules), {"/src/x.cc", "/usr/include/a b.h", "/usr/include/c.h"})
 
--- a/tests/fleet_addresses_test.py
+++ b/tests/fleet_addresses_test.py
@@ -1,4 +1,5 @@
-"""No address of a fleet is given twice, not even to processes that are down, and none that somebody else listens on."""
+"""Tests the address allocation of tools/fleetlib.py: it must never return an address twice, even if the process that has it is
+down, nor one on which another process listens. Otherwise a process could not bind its port when it starts again."""
 import os, socket, sys, tempfile, unittest
 
 sys.dont_write_bytecode = True
@@ -8,9 +9,9 @@
 
 class FleetAddresses(unittest.TestCase):
     def setUp(self):
-        held = tempfile.TemporaryDirectory()
-        self.addCleanup(held.cleanup)
-        self.folder = held.name
+        folder = tempfile.TemporaryDirectory()
+        self.addCleanup(folder.cleanup)
+        self.folder = folder.name
 
     def new_fleet(self):
         fleet = Fleet(self.folder, self.folder)
@@ -21,31 +22,31 @@
         nodes = [fleet.add_node("node-%d" % (len(fleet.state["nodes"]) + 1), "storage_node", "") for _ in range(count)]
         return [node[part] for node in nodes for part in ("inner", "http")]
 
-    def test_no_address_twice(self):
-        given = self.addresses(self.new_fleet(), 2000)
-        self.assertEqual(len(set(given)), 4000)
+    def test_no_address_is_allocated_twice(self):
+        allocated = self.addresses(self.new_fleet(), 2000)
+        self.assertEqual(len(set(allocated)), 4000)
 
-    def test_no_address_twice_over_runs_of_the_tool(self):
+    def test_no_address_is_allocated_twice_by_several_runs_of_the_tool(self):
         first = self.new_fleet()
-        given = self.addresses(first, 30)
+        allocated = self.addresses(first, 30)
         first.save()
-        given += self.addresses(self.new_fleet(), 30)
-        self.assertEqual(len(set(given)), 120)
+        allocated += self.addresses(self.new_fleet(), 30)
+        self.assertEqual(len(set(allocated)), 120)
 
-    def test_below_the_ports_of_outgoing_connections(self):
+    def test_ports_are_below_those_of_outgoing_connections(self):
         first = int(open("/proc/sys/net/ipv4/ip_local_port_range").read().split()[0])
         for each in self.addresses(self.new_fleet(), 100):
             self.assertLess(int(each.rsplit(":")[1]), first)
 
-    def test_not_an_address_that_is_listened_on(self):
+    def test_no_address_on_which_another_process_listens(self):
         fleet = self.new_fleet()
-        given = self.addresses(fleet, 1)[-1]
-        following = int(given.rsplit(":")[1]) + 1
-        with socket.socket() as other:
-            other.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            other.bind((given.rsplit(":")[0], following))
-            other.listen()
-            self.assertNotIn("%s:%d" % (given.rsplit(":")[0], following), self.addresses(fleet, 3))
+        allocated = self.addresses(fleet, 1)[-1]
+        next_port = int(allocated.rsplit(":")[1]) + 1
+        with socket.socket() as listener:
+            listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            listener.bind((allocated.rsplit(":")[0], next_port))
+            listener.listen()
+            self.assertNotIn("%s:%d" % (allocated.rsplit(":")[0], next_port), self.addresses(fleet, 3))
 
 
 if __name__ == "__main__":
--- a/tests/fleet_common.sh
+++ b/tests/fleet_common.sh
@@ -1,5 +1,5 @@
-# What the fleet scripts share; sourced with the arguments BUILD [SITE]. Sets root, build, site and folder, defines
-# fleet, and takes the fleet down at the end.
+# Shared by the fleet scripts, which source it with their arguments BUILD [SITE]. Sets root, build, site and folder, defines
+# fleet, and at exit stops the fleet, removes its folder and, after a failure, prints the ends of its logs.
 root="$(cd "$(dirname "$0")/.." && pwd)"
 build="$1"
 site="${2:-swanreach}"
--- a/tests/fleet_failures.sh
+++ b/tests/fleet_failures.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Real processes through freezes, a lost zone, wiped disks, retirement, evacuation, replaced engines and total loss.
+# Starts a fleet of real processes and runs fleet_failures.py on it: freezes, loss of a zone, wiped disks, retirement,
+# evacuation, replaced engines and loss of all processes.
 set -euo pipefail
 source "$(dirname "$0")/fleet_common.sh"
 fleet up "$site" --edges 3 --log_level WARN
--- a/tests/fleet_processes_test.py
+++ b/tests/fleet_processes_test.py
@@ -1,14 +1,15 @@
-"""A process that was killed counts as ended only when its port can be listened on again."""
+"""Tests Fleet.stop of tools/fleetlib.py: it must return only when the port of the killed process can be bound again. The first
+thread of a process may end while others still hold its port."""
 import os, signal, socket, subprocess, sys, tempfile, unittest
 
 sys.dont_write_bytecode = True
 sys.path.insert(0, os.path.join(os.path.dirname(os.path.dirname(os.path.abspath(__file__))), "tools"))
 from fleetlib import Fleet, birth  # noqa: E402
 
-# Listens, with a dozen threads: its first thread may end before the others do.
+# Listens on a port and runs a dozen more threads, so that its first thread may end before the others.
 CHILD = """
 import signal, socket, sys, threading
-held = socket.create_server((sys.argv[1], int(sys.argv[2])))
+listener = socket.create_server((sys.argv[1], int(sys.argv[2])))
 for _ in range(12):
     threading.Thread(target=threading.Event().wait, daemon=True).start()
 print("listening", flush=True)
@@ -28,7 +29,7 @@
                 process.stdout.readline()
                 node.update(pid=process.pid, born=birth(process.pid))
                 fleet.stop([node], signal.SIGKILL, 5)
-                # Nobody has waited for it yet: it is a zombie still.
+                # It has not been reaped yet, so it is still a zombie.
                 socket.create_server((host, int(port))).close()
                 process.communicate()
 
--- a/tests/fleet_smoke.sh
+++ b/tests/fleet_smoke.sh
@@ -1,11 +1,12 @@
 #!/usr/bin/env bash
-# A short run of a whole fleet of real processes: traffic while one process of each kind is killed.
+# A short run of a fleet of real processes: bad input, operator commands, and traffic while one process of each kind is
+# killed and started again.
 set -euo pipefail
 source "$(dirname "$0")/fleet_common.sh"
 
 fleet up "$site" --edges 3 --log_level WARN
 eval "$(fleet env)"
-"$build/load_generator" --proxies "$PROXIES" --shape "$site" --seconds 4 --requests_per_second 10 > "$folder/calm.json"
+"$build/load_generator" --proxies "$PROXIES" --shape "$site" --seconds 4 --requests_per_second 10 > "$folder/steady.json"
 
 python3 "$root/tests/bad_input.py" "$folder" "$build"
 herontallyctl() { "$build/herontallyctl" --core "$CORE" --token "$TOKEN" "$@"; }
@@ -18,7 +19,7 @@
 herontallyctl get | grep -q "$zone"
 herontallyctl return "$zone" > /dev/null
 
-"$build/load_generator" --proxies "$PROXIES" --shape "$site" --seconds 12 --requests_per_second 10 > "$folder/storm.json" &
+"$build/load_generator" --proxies "$PROXIES" --shape "$site" --seconds 12 --requests_per_second 10 > "$folder/failures.json" &
 load=$!
 for node in core-1 store-2 agent-3 proxy-2; do
   fleet kill "$node"
@@ -30,18 +31,18 @@
 done
 wait $load
 
-# Every stream that arrived was whole and in order.
+# Every stream that was received must be complete and in order.
 python3 - "$folder" <<'P'
 import json, sys
-calm = json.load(open(sys.argv[1] + "/calm.json"))
-storm = json.load(open(sys.argv[1] + "/storm.json"))
-assert calm["oddities"] == {} and storm["oddities"] == {}, (calm["oddities"], storm["oddities"])
-# A starved machine may make a proxy stop for a moment and its clients come back; most must be served all the same.
-assert calm["turns_complete"] >= 0.8 * calm["turns"] > 0, calm
-assert calm["calls_done"] >= 0.8 * calm["calls"] > 0, calm
-assert storm["turns_complete"] > 0 and storm["calls_done"] > 0, storm
-print("calm: %d turns, storm: %d of %d turns complete, drops %s, unanswered %d" % (
-    calm["turns"], storm["turns_complete"], storm["turns"], storm["refusals"], storm["unanswered"]))
+steady = json.load(open(sys.argv[1] + "/steady.json"))
+failures = json.load(open(sys.argv[1] + "/failures.json"))
+assert steady["oddities"] == {} and failures["oddities"] == {}, (steady["oddities"], failures["oddities"])
+# On an overloaded machine a proxy may stall briefly and its clients retry; most requests must be served nevertheless.
+assert steady["turns_complete"] >= 0.8 * steady["turns"] > 0, steady
+assert steady["calls_done"] >= 0.8 * steady["calls"] > 0, steady
+assert failures["turns_complete"] > 0 and failures["calls_done"] > 0, failures
+print("steady: %d turns; under failures: %d of %d turns complete, refusals %s, unanswered %d" % (
+    steady["turns"], failures["turns_complete"], failures["turns"], failures["refusals"], failures["unanswered"]))
 P
 for tries in $(seq 1 100); do
   if fleet status > "$folder/status"; then break; fi
@@ -49,4 +50,4 @@
 done
 "$build/config_trace" --seeds "$SEEDS"
 fleet stop "$engine"
-echo "fleet of $site: whole again"
+echo "fleet of $site: recovered"
