--- a/tests/deploy_packages_test.py
+++ b/tests/deploy_packages_test.py
@@ -42,8 +42,8 @@
         self.assertEqual(self.exit_code, 0, self.build.output[-4000:])
 
     def missing_packages(self, packages):
-        """The needed packages that installing these would not install, each with one of its files. The key None stands for files
-        that no package owns."""
+        """The needed packages that are neither among these nor their dependencies, each with one of its files. The key None
+        stands for files that no package owns."""
         covered = self.installed.closure(packages)
         return {owner: path for path, owner in self.owners.items() if owner not in covered}
 
--- a/tests/input_fuzz/targets.cc
+++ b/tests/input_fuzz/targets.cc
@@ -183,9 +183,9 @@
   auto metadata = adapter().read_request(drawn_headers(inputs));
   std::set<std::string> evacuated;
   for (int number = 0; number < 6; ++number) {
-    router::subject asked{table.routes[0], table.services[0], metadata, {}, 1};
+    router::subject subject{table.routes[0], table.services[0], metadata, {}, 1};
     router::planning_context context{table, evacuated, "zone-a", 3, router::node_group{3, 0}, second, second};
-    auto planned = router::make_plan(asked, pool, context, inputs.random());
+    auto planned = router::make_plan(subject, pool, context, inputs.random());
     auto* made = std::get_if<router::plan>(&planned);
     if (!made) break;
     pool.sent(made->engine, made->unread_tokens, second);
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -145,10 +145,10 @@
         body = {"turn": "t%d" % turn, "prompt": "word %d" % turn, "max_tokens": 6}
 
         def attempt():
-            answer = self._post(path, body)
-            if answer is None or answer[0] != 200:
+            response = self._post(path, body)
+            if response is None or response[0] != 200:
                 return None
-            lines = [json.loads(line) for line in answer[1].splitlines()]
+            lines = [json.loads(line) for line in response[1].splitlines()]
             assert [line["n"] for line in lines] == list(range(len(lines))), "a stream has gaps or repetitions"
             if not lines or lines[-1].get("end") != "complete":
                 self._history.count("incomplete streams")
@@ -164,8 +164,8 @@
         path = "/v1/partners/%s/calls/%s" % (PARTNER, ROUTE)
 
         def attempt():
-            answer = self._post(path, {"k": key}, {"Idempotency-Key": key})
-            return json.loads(answer[1])["code"] if answer is not None and answer[0] == 200 else None
+            response = self._post(path, {"k": key}, {"Idempotency-Key": key})
+            return json.loads(response[1])["code"] if response is not None and response[0] == 200 else None
 
         codes = {self._retry("call " + key, attempt) for _ in range(2)} - {None}
         assert len(codes) <= 1, "key %s has two results" % key
--- a/tests/soak/main.py
+++ b/tests/soak/main.py
@@ -31,11 +31,11 @@
 MAX_PRINTED_VIOLATIONS = 8
 
 
-def run_fleet(arguments, folder, *words):
+def run_fleet(arguments, folder, *fleet_arguments):
     command = [os.path.join(arguments.root, "tools", "fleet"), "--folder", folder, "--build", arguments.build]
-    done = subprocess.run(command + list(words), stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True)
+    done = subprocess.run(command + list(fleet_arguments), stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True)
     if done.returncode != 0:
-        raise RuntimeError("fleet %s: %s" % (" ".join(words), done.stdout))
+        raise RuntimeError("fleet %s: %s" % (" ".join(fleet_arguments), done.stdout))
 
 
 def wait_until(check, seconds):
@@ -152,7 +152,7 @@
                 self.check_key(key)
 
     def check_notices(self):
-        """A proxy that ended on notice must have answered every request that it had read, by its last log line."""
+        """A proxy that ended on notice must have responded to every request that it had read, by its last log line."""
         for name in self.processes.of_role("proxy"):
             with open(os.path.join(self.folder, "logs", name + ".log"), encoding="utf-8", errors="replace") as log:
                 exits = [json.loads(line) for line in log if '"ended on notice"' in line]
