--- a/src/agent/config_feed.cc
+++ b/src/agent/config_feed.cc
@@ -46,7 +46,7 @@
 
 rpc::config_update_request config_feed::update_request() const {
   rpc::config_update_request request;
-  request.node = context_->place.name;
+  request.node = context_->node_settings.name;
   request.revision = context_->configs.revision();
   request.engines_epoch = context_->configs.engines_version().epoch;
   request.engines_sequence = context_->configs.engines_version().sequence;
@@ -61,7 +61,7 @@
     cores_version_ = version;
   }
   // A seed that isn't a core refuses the request, and the next address is tried.
-  auto& addresses = cores_.empty() ? context_->place.seeds : cores_;
+  auto& addresses = cores_.empty() ? context_->node_settings.seeds : cores_;
   return addresses[core_index_ % addresses.size()];
 }
 
@@ -128,7 +128,7 @@
   for (auto& peer : context_->members.live(rpc::node_role::agent)) {
     bool listed = std::find(edges_.begin(), edges_.end(), peer.name) != edges_.end();
     // While no configuration is known, it can come from any peer.
-    if (peer.name != context_->place.name && (listed || edges_.empty())) peers.push_back(peer);
+    if (peer.name != context_->node_settings.name && (listed || edges_.empty())) peers.push_back(peer);
   }
   std::shuffle(peers.begin(), peers.end(), context_->runtime.random());
   // Peers pass on the reports that they have from others, so that a report reaches all edges in a number of
--- a/src/agent/context.h
+++ b/src/agent/context.h
@@ -17,7 +17,7 @@
 
 struct context {
   runtime::handle runtime;
-  settings::settings place;
+  settings::settings node_settings;
   logging::logger logger;
   std::shared_ptr<const platform_protocol::adapter> platform_adapter;  // nullptr: the built-in protocol
   rpc::endpoint endpoint;
@@ -29,15 +29,15 @@
   context(runtime::handle handle, settings::settings given, logging::logger given_logger,
           std::shared_ptr<const platform_protocol::adapter> adapter)
       : runtime(handle),
-        place(std::move(given)),
+        node_settings(std::move(given)),
         logger(given_logger),
         platform_adapter(std::move(adapter)),
-        endpoint(handle, place.name, given_logger),
-        members(endpoint, membership::own_entry(place, rpc::node_role::agent), place.seeds),
+        endpoint(handle, node_settings.name, given_logger),
+        members(endpoint, membership::own_entry(node_settings, rpc::node_role::agent), node_settings.seeds),
         configs(handle),
-        freshness(handle, place.name),
+        freshness(handle, node_settings.name),
         trace(handle) {
-    if (place.speaks > 0) endpoint.set_version(place.speaks);
+    if (node_settings.protocol_version > 0) endpoint.set_version(node_settings.protocol_version);
   }
 };
 
--- a/src/agent/draining_watch.cc
+++ b/src/agent/draining_watch.cc
@@ -48,11 +48,11 @@
   if (!shared->platform_adapter) {
     runtime::http_request request;
     request.path = "/v1/engines";
-    auto result =
-        co_await runtime::http_fetch(shared->runtime, shared->place.platform, request, platform_timeout);
+    auto result = co_await runtime::http_fetch(shared->runtime, shared->node_settings.platform, request,
+                                               platform_timeout);
     co_return draining_in(result);
   }
-  auto listing = co_await engine::fetch_listing(shared->runtime, shared->place.platform,
+  auto listing = co_await engine::fetch_listing(shared->runtime, shared->node_settings.platform,
                                                 shared->platform_adapter, platform_timeout);
   if (!listing) co_return std::nullopt;
   std::vector<std::string> draining;
@@ -89,7 +89,7 @@
     bool outdated = self->is_outdated(shared->configs.engines_age_milliseconds());
     if (!outdated) self->draining_.clear();
     bool needed = shared->configs.engines_version().sequence > 0 || self->list_deferred_;
-    bool can_poll = shared->platform_adapter ? !shared->place.platform.empty() : !broken("outlook");
+    bool can_poll = shared->platform_adapter ? !shared->node_settings.platform.empty() : !broken("outlook");
     if (outdated && needed && can_poll) co_await self->poll_platform();
     co_await shared->runtime.sleep(self->poll_delay(outdated));
   }
--- a/src/agent/node.cc
+++ b/src/agent/node.cc
@@ -32,10 +32,10 @@
   }
 };
 
-node::node(runtime::handle runtime, settings::settings place, logging::logger logger,
+node::node(runtime::handle runtime, settings::settings node_settings, logging::logger logger,
            std::shared_ptr<const platform_protocol::adapter> platform_adapter)
     : state_(std::make_shared<state>(std::make_shared<context>(
-          std::move(runtime), std::move(place), std::move(logger), std::move(platform_adapter)))) {}
+          std::move(runtime), std::move(node_settings), std::move(logger), std::move(platform_adapter)))) {}
 node::~node() = default;
 
 task<std::optional<std::string>> node::start() {
@@ -44,8 +44,8 @@
   shared->endpoint.serve<rpc::config_update_request>(
       [link = self->proxy](rpc::config_update_request request) { return link->serve(std::move(request)); });
   shared->trace.serve(shared->endpoint, rpc::node_role::agent);
-  if (!shared->endpoint.listen(shared->place.inner))
-    co_return "inner can't be listened on: " + shared->place.inner;
+  if (!shared->endpoint.listen(shared->node_settings.inner))
+    co_return "inner can't be listened on: " + shared->node_settings.inner;
   shared->members.start();
   shared->runtime.spawn(self->feed->poll_cores());
   shared->runtime.spawn(self->feed->poll_peers());
@@ -55,8 +55,8 @@
   auto pages = [weak](runtime::inbound_request request, http_api::writer out) {
     if (auto here = weak.lock()) here->serve_http(request, out);
   };
-  if (!shared->runtime.http_serve(shared->place.http, pages))
-    co_return "http can't be listened on: " + shared->place.http;
+  if (!shared->runtime.http_serve(shared->node_settings.http, pages))
+    co_return "http can't be listened on: " + shared->node_settings.http;
   shared->logger.info("started");
   co_return std::nullopt;
 }
--- a/src/agent/node.h
+++ b/src/agent/node.h
@@ -11,7 +11,7 @@
 class node {
  public:
   // Without an adapter the built-in platform protocol is used.
-  node(runtime::handle runtime, settings::settings place, logging::logger logger,
+  node(runtime::handle runtime, settings::settings node_settings, logging::logger logger,
        std::shared_ptr<const platform_protocol::adapter> platform_adapter = nullptr);
   ~node();
   // Starts to listen and to serve. Returns an error message if an address can't be listened on, otherwise
--- a/src/agent/proxy_link.cc
+++ b/src/agent/proxy_link.cc
@@ -41,7 +41,7 @@
   if (revision <= self->announced_revision_) co_return;
   self->announced_revision_ = revision;
   shared->trace.add(revision, "in force", "proxy");
-  rpc::config_applied_request request{shared->place.name, revision};
+  rpc::config_applied_request request{shared->node_settings.name, revision};
   for (auto& core : shared->members.live(rpc::node_role::core))
     shared->runtime.spawn(announce(shared->endpoint, core.inner, request));
 }
@@ -56,7 +56,7 @@
   std::vector<rpc::member> rows;
   for (auto& member : changes ? *changes : members.all()) {
     bool wanted = member.role == rpc::node_role::store || member.role == rpc::node_role::proxy;
-    if (wanted || member.name == context_->place.name) rows.push_back(member);
+    if (wanted || member.name == context_->node_settings.name) rows.push_back(member);
   }
   context_->logger.count("herontally_member_rows_sent_total", static_cast<double>(rows.size()));
   reply.members = nlohmann::json(rows).dump();
@@ -100,8 +100,8 @@
   rpc::member next;
   next.name = proxy_name_;
   next.role = rpc::node_role::proxy;
-  next.zone = context_->place.zone;
-  next.inner = context_->place.inner;  // the agent answers probes of the entry
+  next.zone = context_->node_settings.zone;
+  next.inner = context_->node_settings.inner;  // the agent answers probes of the entry
   next.http = proxy_address_;
   next.incarnation = proxy_incarnation_;
   next.status = live ? rpc::member_status::alive : rpc::member_status::dead;
--- a/src/config_trace/main.cc
+++ b/src/config_trace/main.cc
@@ -160,17 +160,17 @@
 
 int main(int count, char** arguments) {
   auto rest = settings::parse_flags(count, arguments, usage_text);
-  if (!rest.empty()) settings::end_with("config_trace", {rest[0], "is not expected"});
+  if (!rest.empty()) settings::exit_with_fault("config_trace", {rest[0], "is not expected"});
   std::vector<std::string> seeds;
   std::string text = absl::GetFlag(FLAGS_seeds);
   for (std::size_t begin = 0; begin < text.size();) {
     auto end = std::min(text.find(',', begin), text.size());
     seeds.push_back(text.substr(begin, end - begin));
     if (!settings::is_address(seeds.back()))
-      settings::end_with("config_trace", {"--seeds", "must list ip:port"});
+      settings::exit_with_fault("config_trace", {"--seeds", "must list ip:port"});
     begin = end + 1;
   }
-  if (seeds.empty()) settings::end_with("config_trace", {"--seeds", "is missing"});
+  if (seeds.empty()) settings::exit_with_fault("config_trace", {"--seeds", "is missing"});
   logging::start("config_trace", "ERROR");
   runtime::event_loop loop("");
   int code = 0;
--- a/src/control_node/config_changes.cc
+++ b/src/control_node/config_changes.cc
@@ -83,7 +83,7 @@
   rpc::config_committed_request request{chosen.revision,
                                         to_text(configuration::without_operator_source(chosen))};
   for (auto& core : shared.members.live(rpc::node_role::core))
-    if (core.name != shared.place.name)
+    if (core.name != shared.node_settings.name)
       shared.runtime.spawn(announce_to(shared.endpoint, core.inner, request));
 }
 
--- a/src/control_node/context.h
+++ b/src/control_node/context.h
@@ -25,7 +25,7 @@
 // What all parts of one control node use.
 struct context {
   runtime::handle runtime;
-  settings::settings place;
+  settings::settings node_settings;
   logging::logger logger;
   std::shared_ptr<const platform_protocol::adapter> platform_adapter;  // nullptr: the product's own protocol
   rpc::endpoint endpoint;
@@ -37,14 +37,14 @@
   singleton::singleton_role engine_list_role, voter_groups_role, calendar_role;
   bool leaving = false;  // this node is shutting down and reports not ready
 
-  context(runtime::handle handle, settings::settings node_settings, logging::logger node_logger,
+  context(runtime::handle handle, settings::settings given, logging::logger node_logger,
           std::shared_ptr<const platform_protocol::adapter> adapter)
       : runtime(handle),
-        place(std::move(node_settings)),
+        node_settings(std::move(given)),
         logger(node_logger),
         platform_adapter(std::move(adapter)),
-        endpoint(handle, place.name, node_logger),
-        members(endpoint, membership::own_entry(place, rpc::node_role::core), place.seeds),
+        endpoint(handle, node_settings.name, node_logger),
+        members(endpoint, membership::own_entry(node_settings, rpc::node_role::core), node_settings.seeds),
         catalog(endpoint, core_group),
         stores(endpoint, store_group),
         configs(handle),
@@ -53,7 +53,7 @@
         engine_list_role(members, catalog, "platform", rpc::node_role::core),
         voter_groups_role(members, catalog, "voters", rpc::node_role::core),
         calendar_role(members, catalog, "calendars", rpc::node_role::core) {
-    if (place.speaks > 0) endpoint.set_version(place.speaks);
+    if (node_settings.protocol_version > 0) endpoint.set_version(node_settings.protocol_version);
   }
 
   std::string last_learned_text;  // the record that was learned last, as received
@@ -65,7 +65,7 @@
   // that is no record is ignored. `source` says where it came from, for the log and the change trace.
   void learn_config(const std::string& text, const std::string& source);
   // A unique id for a change of the configuration.
-  std::string new_change_id() const { return place.name + "-" + runtime.random_name(); }
+  std::string new_change_id() const { return node_settings.name + "-" + runtime.random_name(); }
 };
 
 }  // namespace herontally::control_node
--- a/src/control_node/engine_list_poller.cc
+++ b/src/control_node/engine_list_poller.cc
@@ -61,8 +61,8 @@
     if (!shared->engine_list_role.is_owner()) continue;
     runtime::http_request request;
     request.path = "/v1/engines";
-    auto result =
-        co_await runtime::http_fetch(shared->runtime, shared->place.platform, request, platform_timeout);
+    auto result = co_await runtime::http_fetch(shared->runtime, shared->node_settings.platform, request,
+                                               platform_timeout);
     auto* response = std::get_if<runtime::http_response>(&result);
     bool answered = response && response->status == 200;
     auto document = answered ? serialization::parse_bounded_object(response->body) : std::nullopt;
@@ -80,7 +80,7 @@
 // became owner, since its predecessor may just have polled.
 bool engine_list_poller::is_poll_due() {
   auto& shared = *context_;
-  if (!shared.engine_list_role.is_owner() || shared.place.platform.empty()) return false;
+  if (!shared.engine_list_role.is_owner() || shared.node_settings.platform.empty()) return false;
   auto now = shared.runtime.now();
   bool no_list = shared.configs.engines_text().empty();
   bool new_epoch = polled_epoch_ != shared.engine_list_role.epoch();
@@ -98,7 +98,7 @@
   bool no_list = shared->configs.engines_text().empty();
   self->last_polled_at_ = shared->runtime.now();
   auto epoch_at_poll = shared->engine_list_role.epoch();
-  auto listing = co_await engine::fetch_listing(shared->runtime, shared->place.platform,
+  auto listing = co_await engine::fetch_listing(shared->runtime, shared->node_settings.platform,
                                                 shared->platform_adapter, platform_timeout);
   if (!listing) {
     shared->logger.count("herontally_platform_silent_total");
@@ -109,7 +109,7 @@
   if (superseded || (no_list && !shared->configs.engines_text().empty())) co_return;
   // Polls use at most half of the shared rate: edges that are cut off from the cores poll the platform
   // themselves.
-  double rate = std::max(shared->place.list_rate, min_list_rate);
+  double rate = std::max(shared->node_settings.list_rate, min_list_rate);
   self->adapter_poll_period_ =
       std::max(min_adapter_poll_period, static_cast<microseconds>(listing->pages * 2 / rate * second));
   self->update_epoch();
--- a/src/control_node/group_founder.cc
+++ b/src/control_node/group_founder.cc
@@ -34,7 +34,7 @@
 // core writes it, so it contains only what every core is certain to know alike.
 std::optional<std::vector<voter_info>> group_founder::initial_core_voters() const {
   std::vector<voter_info> founders;
-  for (auto& address : context_->place.seeds) {
+  for (auto& address : context_->node_settings.seeds) {
     voter_info founder{"", address, "", ""};
     for (auto& member : context_->members.all()) {
       if (member.role != rpc::node_role::core || member.inner != address) continue;
@@ -57,7 +57,7 @@
   if (auto* first = std::get_if<view>(&result)) {
     shared->catalog.learn(*first);
     shared->logger.info("core group founded", {{"voters", first->voters.size()},
-                                               {"needed", loss_budget_from(shared->place).voters()}});
+                                               {"needed", loss_budget_from(shared->node_settings).voters()}});
     co_return;
   }
   // Other cores have a different view already. Its manager adds this core like any new machine.
@@ -73,9 +73,9 @@
 task<> group_founder::found_core_group() {
   auto self = shared_from_this();
   auto shared = self->context_;
-  auto& seeds = shared->place.seeds;
-  auto position = std::find(seeds.begin(), seeds.end(), shared->place.inner);
-  if (!shared->place.founding || position == seeds.end()) co_return;
+  auto& seeds = shared->node_settings.seeds;
+  auto position = std::find(seeds.begin(), seeds.end(), shared->node_settings.inner);
+  if (!shared->node_settings.may_found_groups || position == seeds.end()) co_return;
   auto start_delay = (position - seeds.begin()) * start_stagger;
   microseconds all_known_since = -1;
   while (self->voter_.current_view().number == 0) {
@@ -135,7 +135,7 @@
     self->storage_count_stable_since_ = shared->runtime.now();
   }
   std::vector<voter_observation> no_observations;
-  auto budget = loss_budget_from(shared->place);
+  auto budget = loss_budget_from(shared->node_settings);
   auto founders = plan_voters(view{}, no_observations, machines, budget);
   auto stable_time = shared->runtime.now() - self->storage_count_stable_since_;
   if (machines.empty() || stable_time < required_stable_time(founders, budget)) co_return no_voters;
@@ -157,8 +157,9 @@
                                                  reconfiguration::first_view_if_none(first),
                                                  shared->runtime.now() + write_timeout, true);
   if (!written.value) co_return std::nullopt;
-  shared->logger.info("storage group founded",
-                      {{"voters", voters.size()}, {"needed", loss_budget_from(shared->place).voters()}});
+  shared->logger.info(
+      "storage group founded",
+      {{"voters", voters.size()}, {"needed", loss_budget_from(shared->node_settings).voters()}});
   co_return consensus::view_from_text(*written.value);
 }
 
--- a/src/control_node/node.cc
+++ b/src/control_node/node.cc
@@ -36,7 +36,7 @@
 
   explicit state(std::shared_ptr<context> node_context)
       : shared(node_context),
-        voter(node_context->endpoint, voter_options_of(node_context->place)),
+        voter(node_context->endpoint, voter_options_of(node_context->node_settings)),
         reader(std::make_shared<config_reader>(node_context, voter)),
         changes(std::make_shared<config_changes>(node_context)),
         edges(std::make_shared<edge_set_manager>(node_context, changes, reader)),
@@ -71,7 +71,7 @@
 static std::vector<std::string> addresses_of(const context& shared, rpc::node_role role) {
   std::vector<std::string> addresses;
   for (auto& member : shared.members.live(role)) addresses.push_back(member.inner);
-  return addresses.empty() ? shared.place.seeds : addresses;
+  return addresses.empty() ? shared.node_settings.seeds : addresses;
 }
 
 void node::state::set_seeds() {
@@ -144,23 +144,23 @@
     auto api = weak.lock();
     if (api) runtime.spawn(http_api::serve_guarded(api->serve(std::move(request), out), out, logger));
   };
-  return shared->runtime.http_serve(shared->place.http, serve);
+  return shared->runtime.http_serve(shared->node_settings.http, serve);
 }
 
 bool node::state::serve_control() {
-  if (!shared->platform_adapter || shared->place.control.empty()) return true;
+  if (!shared->platform_adapter || shared->node_settings.control.empty()) return true;
   auto serve = [runtime = shared->runtime, logger = shared->logger,
                 weak = std::weak_ptr<platform_operator_api>(platform_operators)](
                    runtime::inbound_request request, http_api::writer out) {
     auto api = weak.lock();
     if (api) runtime.spawn(http_api::serve_guarded(api->serve(std::move(request), out), out, logger));
   };
-  return shared->runtime.http_serve(shared->place.control, serve);
+  return shared->runtime.http_serve(shared->node_settings.control, serve);
 }
 
 task<std::optional<std::string>> node::start() {
   auto self = state_;
-  auto& node_settings = self->shared->place;
+  auto& node_settings = self->shared->node_settings;
   self->set_seeds();
   auto fault = co_await self->voter.open();
   if (fault == replication::open_error::failed)
@@ -195,11 +195,11 @@
   auto shared = state_->shared;
   shared->leaving = true;
   auto drain_until = shared->runtime.now() + drain_time;
-  auto drain_deadline =
-      shared->runtime.now() + (shared->place.notice_milliseconds - reserve_milliseconds) * millisecond;
+  auto drain_deadline = shared->runtime.now() +
+                        (shared->node_settings.notice_milliseconds - reserve_milliseconds) * millisecond;
   co_await shared->members.leave();
-  std::vector<std::string> addresses{shared->place.http};
-  if (!shared->place.control.empty()) addresses.push_back(shared->place.control);
+  std::vector<std::string> addresses{shared->node_settings.http};
+  if (!shared->node_settings.control.empty()) addresses.push_back(shared->node_settings.control);
   co_await runtime::drain_connections(shared->runtime, addresses, drain_until, drain_deadline);
 }
 
--- a/src/control_node/operator_api.cc
+++ b/src/control_node/operator_api.cc
@@ -120,7 +120,7 @@
 
 std::optional<std::string> operator_api::authorized_partner(const runtime::inbound_request& request) const {
   auto token = http_api::bearer(request);
-  for (auto& known : context_->place.operators)
+  for (auto& known : context_->node_settings.operators)
     if (!token.empty() && known.token == token) return known.partner;
   return std::nullopt;
 }
--- a/src/control_node/voter_group_manager.cc
+++ b/src/control_node/voter_group_manager.cc
@@ -163,7 +163,8 @@
   auto plan = std::make_shared<pending_plan>();
   plan->spares = self->spare_candidates(observed);
   for (int round = 0; round < max_planning_rounds; ++round) {
-    plan->target = plan_voters(agreed_view, observed, plan->spares, loss_budget_from(self->context_->place));
+    plan->target =
+        plan_voters(agreed_view, observed, plan->spares, loss_budget_from(self->context_->node_settings));
     bool again = co_await self->identify_spares(plan, agreed_view);
     if (again) continue;
     if (consensus::same_voters(plan->target, agreed_view.voters)) self->report_lost(observed);
--- a/src/control_node/voter_group_manager.h
+++ b/src/control_node/voter_group_manager.h
@@ -36,7 +36,7 @@
         name_(std::move(name)),
         role_(role),
         directory_(std::move(directory)),
-        shortfall_(context_->logger, name_, loss_budget_from(context_->place)) {}
+        shortfall_(context_->logger, name_, loss_budget_from(context_->node_settings)) {}
   // Reviews the group while this node owns the voter groups role, until the process stops.
   task<> run();
 
--- a/src/engine_stand_in/main.cc
+++ b/src/engine_stand_in/main.cc
@@ -21,11 +21,11 @@
 // The engine's options, from the file and the flags. Ends the process with code 2 if one is at fault.
 engine_stand_in::options options_from_flags() {
   FILE* file = fopen(absl::GetFlag(FLAGS_engine).c_str(), "rb");
-  if (!file) settings::end_with("engine_stand_in", {"--engine", "names a file that can't be read"});
+  if (!file) settings::exit_with_fault("engine_stand_in", {"--engine", "names a file that can't be read"});
   auto list = nlohmann::json::parse(file, nullptr, false);
   fclose(file);
   if (!list.is_array())
-    settings::end_with("engine_stand_in", {"--engine", "names a file that is not a JSON list"});
+    settings::exit_with_fault("engine_stand_in", {"--engine", "names a file that is not a JSON list"});
   engine_stand_in::options choice;
   for (auto& entry : list) {
     if (!entry.is_object() || entry.value("name", "") != absl::GetFlag(FLAGS_only)) continue;
@@ -37,9 +37,10 @@
     choice.http = entry.value("address", "");
     choice.weights = entry.value("weights", "v1");
   }
-  if (choice.name.empty()) settings::end_with("engine_stand_in", {"--only", "names no engine of the file"});
+  if (choice.name.empty())
+    settings::exit_with_fault("engine_stand_in", {"--only", "names no engine of the file"});
   if (!settings::is_address(choice.http))
-    settings::end_with("engine_stand_in", {"address", "must be ip:port"});
+    settings::exit_with_fault("engine_stand_in", {"address", "must be ip:port"});
   choice.prefill_tokens_per_second = absl::GetFlag(FLAGS_prefill_tokens_per_second);
   choice.token_milliseconds = absl::GetFlag(FLAGS_token_milliseconds);
   choice.transfer_bytes_per_second = absl::GetFlag(FLAGS_transfer_bytes_per_second);
@@ -61,7 +62,7 @@
       "       [--hash_seed TEXT]\n\nExample:\n  engine_stand_in --engine fleet/engines.json --only "
       "perth-m1\n";
   auto rest = settings::parse_flags(count, arguments, usage);
-  if (!rest.empty()) settings::end_with("engine_stand_in", {rest[0], "is not expected"});
+  if (!rest.empty()) settings::exit_with_fault("engine_stand_in", {rest[0], "is not expected"});
   auto choice = options_from_flags();
   logging::start("engine_stand_in", "WARN");
   runtime::event_loop loop("");
--- a/src/herontallyctl/main.cc
+++ b/src/herontallyctl/main.cc
@@ -18,7 +18,7 @@
     auto end = std::min(text.find(',', begin), text.size());
     parts.push_back(text.substr(begin, end - begin));
     if (!settings::is_address(parts.back()))
-      settings::end_with("herontallyctl", {flag, "must be ip:port, not \"" + parts.back() + "\""});
+      settings::exit_with_fault("herontallyctl", {flag, "must be ip:port, not \"" + parts.back() + "\""});
     begin = end + 1;
   }
   return parts;
@@ -26,16 +26,16 @@
 
 int main(int count, char** arguments) {
   auto rest = settings::parse_flags(count, arguments, herontallyctl::help());
-  if (rest.empty()) settings::end_with("herontallyctl", {"COMMAND", "is missing; see --help"});
+  if (rest.empty()) settings::exit_with_fault("herontallyctl", {"COMMAND", "is missing; see --help"});
   herontallyctl::setting given;
   given.cores = split(absl::GetFlag(FLAGS_core), "--core");
   given.proxies = split(absl::GetFlag(FLAGS_proxy), "--proxy");
   given.token = absl::GetFlag(FLAGS_token);
   given.timeout_seconds = absl::GetFlag(FLAGS_timeout);
   if (given.timeout_seconds <= 0 || given.timeout_seconds > 600)
-    settings::end_with("herontallyctl", {"--timeout", "must be from 0 to 600 seconds"});
+    settings::exit_with_fault("herontallyctl", {"--timeout", "must be from 0 to 600 seconds"});
   if (given.cores.empty() && rest[0] != "ledger")
-    settings::end_with("herontallyctl", {"--core", "is missing"});
+    settings::exit_with_fault("herontallyctl", {"--core", "is missing"});
   if (absl::GetFlag(FLAGS_expect) >= 0) {
     rest.push_back("expect");
     rest.push_back(std::to_string(absl::GetFlag(FLAGS_expect)));
--- a/src/load_generator/main.cc
+++ b/src/load_generator/main.cc
@@ -22,26 +22,27 @@
       "       [--requests_per_second N] [--seconds N] [--crowd_at_second N] [--crowd N]\n\n"
       "The report is JSON. Exit code 1 when a stream was odd or nothing was complete.\n\n"
       "Example:\n  load_generator --proxies 127.0.0.1:7302,127.0.0.1:7304 --seconds 20\n");
-  if (!rest.empty()) settings::end_with("load_generator", {rest[0], "is not expected"});
+  if (!rest.empty()) settings::exit_with_fault("load_generator", {rest[0], "is not expected"});
   load_generator::options choice;
   std::string text = absl::GetFlag(FLAGS_proxies);
   for (std::size_t begin = 0; begin < text.size();) {
     auto end = std::min(text.find(',', begin), text.size());
     choice.proxies.push_back(text.substr(begin, end - begin));
     if (!settings::is_address(choice.proxies.back()))
-      settings::end_with("load_generator", {"--proxies", "must list ip:port"});
+      settings::exit_with_fault("load_generator", {"--proxies", "must list ip:port"});
     begin = end + 1;
   }
-  if (choice.proxies.empty()) settings::end_with("load_generator", {"--proxies", "is missing"});
+  if (choice.proxies.empty()) settings::exit_with_fault("load_generator", {"--proxies", "is missing"});
   choice.shape = absl::GetFlag(FLAGS_shape);
   if (choice.shape != "swanreach" && choice.shape != "zastavica")
-    settings::end_with("load_generator", {"--shape", "must be swanreach or zastavica"});
+    settings::exit_with_fault("load_generator", {"--shape", "must be swanreach or zastavica"});
   choice.requests_per_second = absl::GetFlag(FLAGS_requests_per_second);
   choice.seconds = absl::GetFlag(FLAGS_seconds);
   if (choice.requests_per_second <= 0 || choice.requests_per_second > 10000)
-    settings::end_with("load_generator", {"--requests_per_second", "must be above 0 and at most 10000"});
+    settings::exit_with_fault("load_generator",
+                              {"--requests_per_second", "must be above 0 and at most 10000"});
   if (choice.seconds <= 0 || choice.seconds > 86400)
-    settings::end_with("load_generator", {"--seconds", "must be above 0"});
+    settings::exit_with_fault("load_generator", {"--seconds", "must be above 0"});
   choice.crowd_at_second = absl::GetFlag(FLAGS_crowd_at_second);
   choice.crowd = absl::GetFlag(FLAGS_crowd);
   runtime::event_loop loop("");
--- a/src/membership/member_list.cc
+++ b/src/membership/member_list.cc
@@ -332,13 +332,13 @@
   }
 }
 
-member own_entry(const settings::settings& place, rpc::node_role role) {
+member own_entry(const settings::settings& node_settings, rpc::node_role role) {
   member entry;
-  entry.name = place.name;
+  entry.name = node_settings.name;
   entry.role = role;
-  entry.zone = place.zone;
-  entry.inner = place.inner;
-  entry.http = place.http;
+  entry.zone = node_settings.zone;
+  entry.inner = node_settings.inner;
+  entry.http = node_settings.http;
   return entry;
 }
 
--- a/src/platform_stand_in/main.cc
+++ b/src/platform_stand_in/main.cc
@@ -17,17 +17,17 @@
       "Usage: platform_stand_in --listen IP:PORT --engines FILE [--nodes A,B,...] [--late_milliseconds N]\n\n"
       "Example:\n  platform_stand_in --listen 127.0.0.1:7900 --engines fleet/engines.json\n";
   auto rest = settings::parse_flags(count, arguments, usage);
-  if (!rest.empty()) settings::end_with("platform_stand_in", {rest[0], "is not expected"});
+  if (!rest.empty()) settings::exit_with_fault("platform_stand_in", {rest[0], "is not expected"});
   platform_stand_in::options choice;
   choice.http = absl::GetFlag(FLAGS_listen);
   if (!settings::is_address(choice.http))
-    settings::end_with("platform_stand_in", {"--listen", "must be ip:port"});
+    settings::exit_with_fault("platform_stand_in", {"--listen", "must be ip:port"});
   FILE* file = fopen(absl::GetFlag(FLAGS_engines).c_str(), "rb");
-  if (!file) settings::end_with("platform_stand_in", {"--engines", "names a file that can't be read"});
+  if (!file) settings::exit_with_fault("platform_stand_in", {"--engines", "names a file that can't be read"});
   choice.engines = nlohmann::json::parse(file, nullptr, false);
   fclose(file);
   if (!choice.engines.is_array())
-    settings::end_with("platform_stand_in", {"--engines", "names a file that is not a JSON list"});
+    settings::exit_with_fault("platform_stand_in", {"--engines", "names a file that is not a JSON list"});
   std::string nodes = absl::GetFlag(FLAGS_nodes);
   for (std::size_t begin = 0; begin < nodes.size();) {
     auto end = std::min(nodes.find(',', begin), nodes.size());
@@ -36,7 +36,7 @@
   }
   for (auto& address : choice.nodes)
     if (!settings::is_address(address))
-      settings::end_with("platform_stand_in", {"--nodes", "must list ip:port"});
+      settings::exit_with_fault("platform_stand_in", {"--nodes", "must list ip:port"});
   choice.late_milliseconds = absl::GetFlag(FLAGS_late_milliseconds);
   logging::start("platform_stand_in", "WARN");
   runtime::event_loop loop("");
--- a/src/proxy/context.cc
+++ b/src/proxy/context.cc
@@ -43,7 +43,7 @@
       trace(handle),
       capacity(handle),
       incarnation(handle.wall()) {
-  if (node_settings.speaks > 0) endpoint.set_version(node_settings.speaks);
+  if (node_settings.protocol_version > 0) endpoint.set_version(node_settings.protocol_version);
 }
 
 bool context::is_fresh() const {
--- a/src/runtime/program.h
+++ b/src/runtime/program.h
@@ -63,14 +63,14 @@
 
 // Runs a node with the given settings and ends the process.
 template <class Node, class... Extra>
-int run_place(settings::settings config, const std::string& role, Extra... extra) {
+int run_node(settings::settings config, const std::string& role, Extra... extra) {
   return end_process(serve_until_terminated<Node>(std::move(config), role, std::move(extra)...));
 }
 
 // Reads the settings from the command line, runs a node and ends the process.
 template <class Node>
 int run_program(int count, char** arguments, const std::string& role, const std::string& purpose) {
-  return run_place<Node>(settings::from_command_line(count, arguments, role, purpose), role);
+  return run_node<Node>(settings::from_command_line(count, arguments, role, purpose), role);
 }
 
 }  // namespace herontally::runtime
--- a/src/settings/daemon_flags.cc
+++ b/src/settings/daemon_flags.cc
@@ -39,16 +39,17 @@
                       "A flag overrides the same field of the settings file. Example:\n  " +
                       role + " --settings examples/one/" + role + ".json --zone b\n";
   auto positional = parse_flags(count, arguments, usage);
-  if (!positional.empty()) end_with(role, {positional[0], "is not expected"});
+  if (!positional.empty()) exit_with_fault(role, {positional[0], "is not expected"});
   json document = json::object();
   std::string file = absl::GetFlag(FLAGS_settings);
   if (!file.empty()) {
     std::ifstream stream(file);
-    if (!stream) end_with(role, {"--settings", "names a file that can't be read: " + file});
+    if (!stream) exit_with_fault(role, {"--settings", "names a file that can't be read: " + file});
     document = json::parse(stream, nullptr, false);
-    if (document.is_discarded()) end_with(role, {"--settings", "names a file that is not JSON: " + file});
+    if (document.is_discarded())
+      exit_with_fault(role, {"--settings", "names a file that is not JSON: " + file});
     if (!document.is_object())
-      end_with(role, {"--settings", "names a file that is not a JSON object: " + file});
+      exit_with_fault(role, {"--settings", "names a file that is not a JSON object: " + file});
   }
   auto override_field = [&](const char* field, const std::string& value) {
     if (!value.empty()) document[field] = value;
@@ -63,7 +64,7 @@
   override_field("log_level", absl::GetFlag(FLAGS_log_level));
   if (!absl::GetFlag(FLAGS_seeds).empty()) document["seeds"] = split_at_commas(absl::GetFlag(FLAGS_seeds));
   auto checked = from_json(document, role);
-  if (auto* found = std::get_if<fault>(&checked)) end_with(role, *found);
+  if (auto* found = std::get_if<fault>(&checked)) exit_with_fault(role, *found);
   return std::get<settings>(checked);
 }
 
--- a/src/settings/flags.cc
+++ b/src/settings/flags.cc
@@ -9,7 +9,7 @@
 
 namespace herontally::settings {
 
-void end_with(const std::string& program, const fault& found) {
+void exit_with_fault(const std::string& program, const fault& found) {
   fprintf(stderr, "%s: %s %s\n", program.c_str(), found.field.c_str(), found.what.c_str());
   exit(2);
 }
@@ -38,8 +38,8 @@
     auto* found = absl::FindCommandLineFlag(flag);
     auto renamed = renamed_flags.find(flag);
     if (!found && renamed != renamed_flags.end())
-      end_with(program, {"--" + flag, "is called --" + renamed->second + " now"});
-    if (!found) end_with(program, {"--" + flag, "is not a flag; see --help"});
+      exit_with_fault(program, {"--" + flag, "is called --" + renamed->second + " now"});
+    if (!found) exit_with_fault(program, {"--" + flag, "is not a flag; see --help"});
     std::string value;
     if (equals != std::string::npos)
       value = argument.substr(equals + 1);
@@ -48,10 +48,10 @@
     else if (position + 1 < count)
       value = arguments[++position];
     else
-      end_with(program, {"--" + flag, "needs a value"});
+      exit_with_fault(program, {"--" + flag, "needs a value"});
     std::string parse_error;
     if (!found->ParseFrom(value, &parse_error))
-      end_with(program, {"--" + flag, "does not take \"" + value + "\""});
+      exit_with_fault(program, {"--" + flag, "does not take \"" + value + "\""});
   }
   return positional;
 }
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -35,7 +35,8 @@
   std::string ingress;    // proxy: serves clients' requests by the routing table
   std::string readiness;  // proxy: the platform's readiness checks, whether it takes new connections
   std::string control;    // control_node: the operator API in the platform's format
-  bool founding = false;  // first start of the whole system, with empty disks: voter groups may be created
+  bool may_found_groups =
+      false;  // first start of the whole system, with empty disks: voter groups may be created
   // Calls per second, of all nodes together, that the platform accepts for its engine list.
   double list_rate = 4;
   std::int64_t drain_milliseconds = 3000;  // time by which requests to a draining engine must have stopped
@@ -49,7 +50,8 @@
   double max_quota_excess = 0.1, max_quota_slack = 20;
   // How long a repeated operation key refers to the same operation.
   std::int64_t operation_key_milliseconds = 60000;
-  int speaks = 0;  // version of the protocol between nodes; 0: the newest. Set only by the simulator
+  int protocol_version =
+      0;  // version of the protocol between nodes; 0: the newest. Set only by the simulator
 };
 
 // A fault in settings or in a command line: the field or flag, and text to follow its name in a message.
@@ -69,7 +71,7 @@
 // and `usage` with code 0 for --help.
 std::vector<std::string> parse_flags(int count, char** arguments, const std::string& usage);
 // Prints the fault to standard error and exits the process with code 2.
-[[noreturn]] void end_with(const std::string& program, const fault& found);
+[[noreturn]] void exit_with_fault(const std::string& program, const fault& found);
 // Whether the text is an IPv4 address or an IPv6 address in brackets, with a port from 1 to 65535.
 bool is_address(const std::string& text);
 
--- a/src/simulator/main.cc
+++ b/src/simulator/main.cc
@@ -38,7 +38,7 @@
   simulator::run_options choice;
   auto shape = simulator::deployment(absl::GetFlag(FLAGS_deployment));
   if (!shape)
-    settings::end_with("simulator", {"--deployment", "must be small, swanreach, zastavica or both"});
+    settings::exit_with_fault("simulator", {"--deployment", "must be small, swanreach, zastavica or both"});
   choice.site = *shape;
   choice.only = simulator::parse_kinds("simulator", absl::GetFlag(FLAGS_only), simulator::fault_kinds());
   choice.faults = static_cast<int>(absl::GetFlag(FLAGS_faults));
@@ -53,7 +53,7 @@
 #ifdef HERONTALLY_BREAKS
   breaks().insert(broken_one);
 #else
-  settings::end_with("simulator", {"--broken", "is only known to the build made for it"});
+  settings::exit_with_fault("simulator", {"--broken", "is only known to the build made for it"});
 #endif
 }
 
@@ -96,7 +96,7 @@
 
 int main(int count, char** arguments) {
   auto rest = settings::parse_flags(count, arguments, usage_text);
-  if (!rest.empty()) settings::end_with("simulator", {rest[0], "is not expected"});
+  if (!rest.empty()) settings::exit_with_fault("simulator", {rest[0], "is not expected"});
   auto seeds = simulator::parse_seeds("simulator", absl::GetFlag(FLAGS_seeds));
   auto choice = options_of_flags();
   std::string broken_one = absl::GetFlag(FLAGS_broken);
@@ -105,7 +105,8 @@
   std::string measurement = absl::GetFlag(FLAGS_measure);
   if (!measurement.empty()) {
     if (simulator::measure(measurement)) return 0;
-    settings::end_with("simulator", {"--measure", "must be one of: " + simulator::measurement_names()});
+    settings::exit_with_fault("simulator",
+                              {"--measure", "must be one of: " + simulator::measurement_names()});
   }
   auto rule = absl::GetFlag(FLAGS_expect);
   auto run = [&choice](std::uint64_t seed) {
--- a/src/simulator/seed_runs.h
+++ b/src/simulator/seed_runs.h
@@ -22,7 +22,7 @@
   auto dots = text.find("..");
   bool digits = dots != std::string::npos && dots > 0 && dots + 2 < text.size() &&
                 text.find_first_not_of("0123456789.") == std::string::npos;
-  if (!digits) herontally::settings::end_with(program, {"--seeds", "must be A..B"});
+  if (!digits) herontally::settings::exit_with_fault(program, {"--seeds", "must be A..B"});
   return {std::stoull(text.substr(0, dots)), std::stoull(text.substr(dots + 2))};
 }
 
@@ -43,7 +43,7 @@
   auto chosen = split_names(text);
   for (auto& kind : chosen)
     if (std::find(known.begin(), known.end(), kind) == known.end())
-      herontally::settings::end_with(program, {"--only", "names no kind of fault: " + kind});
+      herontally::settings::exit_with_fault(program, {"--only", "names no kind of fault: " + kind});
   return chosen;
 }
 
--- a/src/simulator/site.cc
+++ b/src/simulator/site.cc
@@ -104,7 +104,7 @@
   given.platform = places.at("platform").http;
   given.operators = {{operator_token, "*"}};
   given.disk_megabytes = 64;
-  given.speaks = versions[spot.name];
+  given.protocol_version = versions[spot.name];
   auto node = std::make_shared<Node>(where.runtime_of(spot.name), given, spot.logger);
   where.runtime_of(spot.name).spawn(
       [](std::shared_ptr<Node> started, site* own, std::string name) -> rt::task<> {
--- a/src/storage_node/node.cc
+++ b/src/storage_node/node.cc
@@ -37,7 +37,7 @@
         members(endpoint, membership::own_entry(config, rpc::node_role::store), config.seeds),
         voter(endpoint, make_voter_options(config)),
         group(endpoint, "store") {
-    if (config.speaks > 0) endpoint.set_version(config.speaks);
+    if (config.protocol_version > 0) endpoint.set_version(config.protocol_version);
   }
 
   static task<> watch_forever(std::shared_ptr<state> self) {
--- a/tests/agent_vouching_test.cc
+++ b/tests/agent_vouching_test.cc
@@ -21,11 +21,11 @@
   restarted_agent() : world(5) {
     world.machine("a", "z");
     world.boot("a");
-    settings::settings place;
-    place.name = "a";
-    place.inner = "10.0.0.1:7000";
-    place.seeds = {"10.0.0.9:7000"};
-    shared = std::make_shared<agent::context>(world.runtime_of("a"), place,
+    settings::settings node_settings;
+    node_settings.name = "a";
+    node_settings.inner = "10.0.0.1:7000";
+    node_settings.seeds = {"10.0.0.9:7000"};
+    shared = std::make_shared<agent::context>(world.runtime_of("a"), node_settings,
                                               logging::logger("a", [](auto&, auto&) {}), nullptr);
     watch = std::make_shared<agent::draining_watch>(shared);
     link = std::make_shared<agent::proxy_link>(shared, watch);
--- a/tests/control_site_fixture.h
+++ b/tests/control_site_fixture.h
@@ -58,7 +58,7 @@
     node_settings.seeds = {inner("c1"), inner("c2"), inner("c3")};
     node_settings.data = "data";
     node_settings.platform = "10.0.2.1:80";
-    node_settings.founding = founding;
+    node_settings.may_found_groups = founding;
     node_settings.machine_losses = machine_losses;
     node_settings.list_rate = 40;
     logging::logger logger(name, [this, name](const std::string&, const json& line) {
--- a/tests/platform_simulator/main.cc
+++ b/tests/platform_simulator/main.cc
@@ -58,12 +58,14 @@
 // The shape in which the deploy file runs the deployment that is named.
 static platform_simulator::site_shape shape_of_flags() {
   auto losses = static_cast<int>(absl::GetFlag(FLAGS_losses));
-  if (losses < 1 || losses > 2) settings::end_with("platform_simulator", {"--losses", "must be 1 or 2"});
+  if (losses < 1 || losses > 2)
+    settings::exit_with_fault("platform_simulator", {"--losses", "must be 1 or 2"});
   auto name = absl::GetFlag(FLAGS_shape);
   if (name.empty()) return platform_simulator::smallest_shape(losses);
   auto shape = deployment_named(name);
   if (!shape)
-    settings::end_with("platform_simulator", {"--shape", "must be small, many_stores, large or four_zones"});
+    settings::exit_with_fault("platform_simulator",
+                              {"--shape", "must be small, many_stores, large or four_zones"});
   shape->cores = started_machines("core", shape->cores, shape->zones);
   shape->stores = started_machines("store", shape->stores, shape->zones);
   return *shape;
@@ -75,7 +77,7 @@
   choice.shape = shape_of_flags();
   choice.long_day = static_cast<runtime::microseconds>(absl::GetFlag(FLAGS_long_day) * runtime::second);
   auto pause = absl::GetFlag(FLAGS_pause_ms);
-  if (pause < 1) settings::end_with("platform_simulator", {"--pause_ms", "must be 1 or more"});
+  if (pause < 1) settings::exit_with_fault("platform_simulator", {"--pause_ms", "must be 1 or more"});
   choice.pause = pause * runtime::millisecond;
   choice.long_requests = absl::GetFlag(FLAGS_long_requests);
   auto kinds = platform_simulator::fault_kinds();
@@ -126,7 +128,7 @@
 
 int main(int count, char** arguments) {
   auto rest = settings::parse_flags(count, arguments, usage_text);
-  if (!rest.empty()) settings::end_with("platform_simulator", {rest[0], "is not expected"});
+  if (!rest.empty()) settings::exit_with_fault("platform_simulator", {rest[0], "is not expected"});
   auto seeds = simulator::parse_seeds("platform_simulator", absl::GetFlag(FLAGS_seeds));
   auto choice = options_of_flags();
   logging::start("platform_simulator", "OFF");
--- a/tests/program_test.cc
+++ b/tests/program_test.cc
@@ -38,7 +38,7 @@
   settings::settings config;
   config.name = "child";
   config.log_level = "OFF";
-  exit(runtime::run_place<idle_node>(config, "child", pipe));
+  exit(runtime::run_node<idle_node>(config, "child", pipe));
 }
 
 std::optional<int> wait_for(pid_t child, std::chrono::milliseconds timeout) {
