--- a/src/engine/engine_monitor.h
+++ b/src/engine/engine_monitor.h
@@ -25,7 +25,7 @@
   std::int64_t in_flight = 0;                      // our requests; maintained by the callers
   // KV cache pulls in progress that we requested, with this engine as source or destination; maintained by
   // the callers.
-  std::int64_t our_pulls_from = 0, our_pulls_into = 0;
+  std::int64_t pulls_as_source = 0, pulls_as_destination = 0;
 
   bool is_usable() const { return listed && healthy && !draining_by_platform && !draining_by_engine; }
 };
--- a/src/placement/placement.cc
+++ b/src/placement/placement.cc
@@ -36,8 +36,8 @@
 // below this proxy's share of that limit.
 bool has_capacity(const placement_request& request, const engine& candidate) {
   if (!is_eligible(request, candidate)) return false;
-  std::int64_t cap = ramped(request.slow_start_concurrent, request.max_concurrent, candidate.age_seconds,
-                            request.warm_seconds);
+  std::int64_t cap = slow_start_limit(request.slow_start_concurrent, request.max_concurrent,
+                                      candidate.age_seconds, request.warm_seconds);
   bool cold = candidate.age_seconds < request.warm_seconds && !broken("cold");
   if (candidate.reported + candidate.sent_since_report >= cap) return false;
   // Proxies don't see each other's requests until the engine reports them; without shares, many of them would
@@ -48,7 +48,7 @@
 // Concurrent pulls that this proxy may assign to the engine; `full` is the limit of a warm engine over all
 // proxies.
 std::int64_t pull_limit(std::int64_t full, const placement_request& request, const engine& candidate) {
-  std::int64_t cap = ramped(1, full, candidate.age_seconds, request.warm_seconds);
+  std::int64_t cap = slow_start_limit(1, full, candidate.age_seconds, request.warm_seconds);
   bool cold = candidate.age_seconds < request.warm_seconds && !broken("cold");
   if (cold) return share_of(cap, request, candidate.name);
   // A warm engine enforces its own limit. At least 1, since a share of 0 would exclude it where there are
@@ -60,7 +60,8 @@
 std::int64_t expected_cached_tokens(const placement_request& request, const engine& candidate) {
   // Scaled by the accuracy of earlier predictions, so that an engine whose predictions were wrong needs a
   // longer predicted prefix to be chosen.
-  return static_cast<std::int64_t>(static_cast<double>(candidate.cached_blocks) * candidate.belief) *
+  return static_cast<std::int64_t>(static_cast<double>(candidate.cached_blocks) *
+                                   candidate.prediction_accuracy) *
          request.block_tokens;
 }
 
@@ -72,7 +73,7 @@
   if (!request.min_cached_token_delta) return;
   const engine& destination = engines[result.destination];
   // Pulls into a cold destination are limited as well.
-  if (destination.our_pulls_into >= pull_limit(request.max_pulls_per_destination, request, destination))
+  if (destination.pulls_as_destination >= pull_limit(request.max_pulls_per_destination, request, destination))
     return;
   std::int64_t own = expected_cached_tokens(request, destination);
   std::int64_t largest = 0;
@@ -80,7 +81,7 @@
   for (std::size_t position = 0; position < engines.size(); ++position) {
     const engine& candidate = engines[position];
     if (position == result.destination || !is_eligible(request, candidate)) continue;
-    if (candidate.our_pulls_from >= pull_limit(request.max_pulls_per_source, request, candidate)) continue;
+    if (candidate.pulls_as_source >= pull_limit(request.max_pulls_per_source, request, candidate)) continue;
     holders.push_back(position);
     largest = std::max(largest, expected_cached_tokens(request, candidate));
   }
@@ -123,11 +124,11 @@
   std::uint64_t key = 1469598103934665603ull;
   for (unsigned char letter : engine) key = (key ^ letter) * 1099511628211ull;
   auto now = share_of_rank(cap, request.proxies, request.rank, key);
-  if (request.proxies_before == 0) return now;
-  return std::min(now, share_of_rank(cap, request.proxies_before, request.rank_before, key));
+  if (request.previous_proxies == 0) return now;
+  return std::min(now, share_of_rank(cap, request.previous_proxies, request.previous_rank, key));
 }
 
-std::int64_t ramped(std::int64_t cold, std::int64_t full, double age_seconds, double warm_seconds) {
+std::int64_t slow_start_limit(std::int64_t cold, std::int64_t full, double age_seconds, double warm_seconds) {
   if (broken("cold")) return full;
   if (warm_seconds <= 0 || age_seconds >= warm_seconds) return full;
   double part = std::max(0.0, age_seconds / warm_seconds);
@@ -135,7 +136,7 @@
   return std::max<std::int64_t>(1, static_cast<std::int64_t>(std::floor(cap)));
 }
 
-bool could_serve(const placement_request& request, const std::vector<engine>& engines) {
+bool has_eligible_engine(const placement_request& request, const std::vector<engine>& engines) {
   for (auto& candidate : engines) {
     bool avoided =
         std::find(request.avoid.begin(), request.avoid.end(), candidate.number) != request.avoid.end();
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -25,11 +25,11 @@
   std::int64_t sent_since_report = 0;  // requests from this proxy since that report
   std::int64_t in_flight = 0;          // all unfinished requests from this proxy
   // Unfinished pulls that this proxy has assigned, with this engine as source and as destination.
-  std::int64_t our_pulls_from = 0, our_pulls_into = 0;
-  double age_seconds = 1e9;       // since this incarnation was first seen ready
-  std::size_t cached_blocks = 0;  // predicted number of the prompt's leading blocks in its cache
-  double belief = 1;              // accuracy of earlier predictions, 0 to 1 (see prefix::index)
-  double tie_break_score = 0;     // breaks ties in load and cached prefix; higher is better
+  std::int64_t pulls_as_source = 0, pulls_as_destination = 0;
+  double age_seconds = 1e9;        // since this incarnation was first seen ready
+  std::size_t cached_blocks = 0;   // predicted number of the prompt's leading blocks in its cache
+  double prediction_accuracy = 1;  // accuracy of earlier predictions, 0 to 1 (see prefix::index)
+  double tie_break_score = 0;      // breaks ties in load and cached prefix; higher is better
 };
 
 // What is to be placed, with the limits that apply to it.
@@ -48,8 +48,8 @@
   double warm_seconds = 20;
   // The number of proxies that share each engine's limits and this proxy's rank among them, from 0; a proxy
   // that isn't listed (rank -1) has no share. While the list of proxies changes, the smaller of the shares in
-  // the new and the previous list applies; `proxies_before` is 0 when there is no previous list.
-  std::int64_t proxies = 1, rank = 0, proxies_before = 0, rank_before = 0;
+  // the new and the previous list applies; `previous_proxies` is 0 when there is no previous list.
+  std::int64_t proxies = 1, rank = 0, previous_proxies = 0, previous_rank = 0;
   configuration::table table;
   std::vector<interning::symbol> avoid;  // engines on which earlier attempts of this request failed
 };
@@ -66,10 +66,10 @@
 std::int64_t share_of(std::int64_t cap, const placement_request& request, const std::string& engine);
 // The limit of an engine during slow start, over all proxies: rises linearly from `cold` to `full` within
 // `warm_seconds`, rounded down, and is at least 1 until then.
-std::int64_t ramped(std::int64_t cold, std::int64_t full, double age_seconds, double warm_seconds);
+std::int64_t slow_start_limit(std::int64_t cold, std::int64_t full, double age_seconds, double warm_seconds);
 // Whether some engine is eligible for the request, regardless of its load. Where `place` finds none, this
 // tells callers whether waiting can help.
-bool could_serve(const placement_request& request, const std::vector<engine>& engines);
+bool has_eligible_engine(const placement_request& request, const std::vector<engine>& engines);
 // Chooses a destination and, if worthwhile, a source. Returns nothing if no eligible engine is below its
 // limit.
 std::optional<choice> place(const placement_request& request, const std::vector<engine>& engines,
--- a/src/prefix/prefix.cc
+++ b/src/prefix/prefix.cc
@@ -85,7 +85,7 @@
 
 struct engine_blocks {
   block_lru blocks;
-  double belief = 1;  // moving average of the accuracy of predictions
+  double prediction_accuracy = 1;  // moving average of the accuracy of predictions
 };
 
 struct index::state {
@@ -101,7 +101,7 @@
 index::index(limits bounds) : state_(std::make_unique<state>()) { state_->bounds = bounds; }
 index::~index() = default;
 
-void index::note(interning::symbol engine, const std::vector<std::string>& hashes, std::int64_t now) {
+void index::record_use(interning::symbol engine, const std::vector<std::string>& hashes, std::int64_t now) {
   auto& blocks = state_->of(engine).blocks;
   auto& order = blocks.get<1>();
   for (auto& hash : hashes) {
@@ -117,8 +117,8 @@
   while (!order.empty() && now - order.front().last_used > state_->bounds.longest_age) order.pop_front();
 }
 
-std::size_t index::leading(interning::symbol engine, const std::vector<std::string>& hashes,
-                           std::int64_t now) const {
+std::size_t index::cached_prefix_length(interning::symbol engine, const std::vector<std::string>& hashes,
+                                        std::int64_t now) const {
   if (engine >= state_->engines.size()) return 0;
   auto& blocks = state_->engines[engine].blocks;
   std::size_t count = 0;
@@ -132,18 +132,18 @@
 
 void index::forget(interning::symbol engine) { state_->of(engine) = engine_blocks{}; }
 
-void index::correct(interning::symbol engine, const std::vector<std::string>& hashes, std::size_t found,
-                    std::size_t predicted) {
+void index::report_outcome(interning::symbol engine, const std::vector<std::string>& hashes,
+                           std::size_t found, std::size_t predicted) {
   auto& entry = state_->of(engine);
   for (std::size_t position = found; position < hashes.size(); ++position)
     entry.blocks.erase(hashes[position]);
   if (predicted == 0) return;
   double right = static_cast<double>(found < predicted ? found : predicted) / static_cast<double>(predicted);
-  entry.belief = 0.7 * entry.belief + 0.3 * right;
+  entry.prediction_accuracy = 0.7 * entry.prediction_accuracy + 0.3 * right;
 }
 
-double index::belief(interning::symbol engine) const {
-  return engine < state_->engines.size() ? state_->engines[engine].belief : 1;
+double index::prediction_accuracy(interning::symbol engine) const {
+  return engine < state_->engines.size() ? state_->engines[engine].prediction_accuracy : 1;
 }
 std::size_t index::size(interning::symbol engine) const {
   return engine < state_->engines.size() ? state_->engines[engine].blocks.size() : 0;
--- a/src/prefix/prefix.h
+++ b/src/prefix/prefix.h
@@ -41,19 +41,19 @@
   explicit index(limits bounds);
   ~index();
   // Records that the engine received or produced these blocks at time `now`.
-  void note(interning::symbol engine, const std::vector<std::string>& hashes, std::int64_t now);
+  void record_use(interning::symbol engine, const std::vector<std::string>& hashes, std::int64_t now);
   // The number of leading blocks that the engine is predicted to have cached.
-  std::size_t leading(interning::symbol engine, const std::vector<std::string>& hashes,
-                      std::int64_t now) const;
+  std::size_t cached_prefix_length(interning::symbol engine, const std::vector<std::string>& hashes,
+                                   std::int64_t now) const;
   // Drops all entries of an engine and resets its accuracy, for an engine that restarted, changed weights,
   // drains or left.
   void forget(interning::symbol engine);
   // The engine was predicted to have `predicted` blocks cached and had `found`: drops the entries of `hashes`
   // after the first `found` and updates the engine's accuracy, unless `predicted` is 0.
-  void correct(interning::symbol engine, const std::vector<std::string>& hashes, std::size_t found,
-               std::size_t predicted);
+  void report_outcome(interning::symbol engine, const std::vector<std::string>& hashes, std::size_t found,
+                      std::size_t predicted);
   // The moving average of the share of predicted blocks that the engine had, 0 to 1; 1 for an unknown engine.
-  double belief(interning::symbol engine) const;
+  double prediction_accuracy(interning::symbol engine) const;
   // The number of entries of this engine, including expired ones that are not yet removed.
   std::size_t size(interning::symbol engine) const;
 
--- a/src/proxy/attempt_plan.cc
+++ b/src/proxy/attempt_plan.cc
@@ -24,8 +24,8 @@
     engine.queue = row.queue;
     engine.sent_since_report = row.sent_since_report;
     engine.in_flight = row.in_flight;
-    engine.our_pulls_from = row.our_pulls_from;
-    engine.our_pulls_into = row.our_pulls_into;
+    engine.pulls_as_source = row.pulls_as_source;
+    engine.pulls_as_destination = row.pulls_as_destination;
     engine.age_seconds = static_cast<double>(context.now - row.first_ready) / second;
     engines.push_back(std::move(engine));
   }
@@ -48,8 +48,8 @@
 static void set_common_fields(placement::placement_request& request, const planning_context& context) {
   request.proxies = context.ranks.proxies;
   request.rank = context.ranks.rank;
-  request.proxies_before = context.ranks.previous_proxies;
-  request.rank_before = context.ranks.previous_rank;
+  request.previous_proxies = context.ranks.previous_proxies;
+  request.previous_rank = context.ranks.previous_rank;
   request.avoid = context.avoid;
 }
 
@@ -99,14 +99,14 @@
   plan.hashes = prefix::block_hashes(identity, input.prompt);
   auto engines = placement_engines(rows, "model", input.partner, input.model.name, context);
   for (auto& engine : engines) {
-    engine.cached_blocks = prefixes.leading(engine.number, plan.hashes, context.now);
-    engine.belief = prefixes.belief(engine.number);
+    engine.cached_blocks = prefixes.cached_prefix_length(engine.number, plan.hashes, context.now);
+    engine.prediction_accuracy = prefixes.prediction_accuracy(engine.number);
   }
   auto request = placement_request_for(input, context);
   auto choice = placement::place(request, engines, random);
   if (!choice)
-    return placement::could_serve(request, engines) ? plan_failure::no_capacity
-                                                    : plan_failure::no_usable_engine;
+    return placement::has_eligible_engine(request, engines) ? plan_failure::no_capacity
+                                                            : plan_failure::no_usable_engine;
   const auto& destination = engines[choice->destination];
   plan.config_revision = context.config.revision;
   plan.attempt = context.attempt;
--- a/src/proxy/turn_attempt.cc
+++ b/src/proxy/turn_attempt.cc
@@ -24,16 +24,16 @@
   ++row.sent_since_report;
   ++row.in_flight;
   if (source) {
-    ++row.our_pulls_into;
-    ++context_->engines.row(*source).our_pulls_from;
+    ++row.pulls_as_destination;
+    ++context_->engines.row(*source).pulls_as_source;
   }
   return in_flight_guard([weak = std::weak_ptr<context>(context_), destination, source] {
     auto shared = weak.lock();
     if (!shared) return;
     --shared->engines.row(destination).in_flight;
     if (source) {
-      --shared->engines.row(destination).our_pulls_into;
-      --shared->engines.row(*source).our_pulls_from;
+      --shared->engines.row(destination).pulls_as_destination;
+      --shared->engines.row(*source).pulls_as_source;
     }
     shared->capacity.notify_all();
   });
@@ -79,14 +79,15 @@
     auto found = static_cast<std::size_t>(std::max<std::int64_t>(0, summary.blocks_found));
     // A failed pull says nothing about which blocks the source holds; a completed one does.
     if (!summary.pull_failed)
-      prefixes.correct(*plan_.source, plan_.request.source_blocks, found, plan_.request.source_blocks.size());
+      prefixes.report_outcome(*plan_.source, plan_.request.source_blocks, found,
+                              plan_.request.source_blocks.size());
     else
-      prefixes.correct(*plan_.source, {}, 0, 1);
+      prefixes.report_outcome(*plan_.source, {}, 0, 1);
   }
   auto block_tokens = std::max<std::int64_t>(1, plan_.request.identity.block_tokens);
   auto cached = static_cast<std::size_t>(summary.cached_tokens / block_tokens);
   auto expected = plan_.destination_blocks;
-  if (expected > 0) prefixes.correct(plan_.destination, {}, std::min(cached, expected), expected);
+  if (expected > 0) prefixes.report_outcome(plan_.destination, {}, std::min(cached, expected), expected);
 }
 
 void turn_attempt::handle_summary(const engine::completion_summary& summary) {
@@ -97,7 +98,7 @@
   shared.turn_seconds = (1 - new_sample_weight) * shared.turn_seconds + new_sample_weight * duration;
   auto tokens = plan_.request.prompt;
   tokens.insert(tokens.end(), output_.begin(), output_.end());
-  shared.prefixes.note(plan_.destination, prefix::block_hashes(plan_.request.identity, tokens), now);
+  shared.prefixes.record_use(plan_.destination, prefix::block_hashes(plan_.request.identity, tokens), now);
   auto& logger = shared.logger;
   logger.count("herontally_prompt_tokens_total", static_cast<double>(summary.prompt_tokens));
   logger.count("herontally_cached_tokens_total", static_cast<double>(summary.cached_tokens));
@@ -138,7 +139,7 @@
   self->in_flight_ = self->count_in_flight();
   shared->logger.count("herontally_placements_total");
   if (self->plan_.source) shared->logger.count("herontally_pulls_named_total");
-  shared->prefixes.note(self->plan_.destination, self->plan_.hashes, shared->runtime.now());
+  shared->prefixes.record_use(self->plan_.destination, self->plan_.hashes, shared->runtime.now());
   self->may_have_reached_engine_before_ = std::exchange(self->progress_->may_have_reached_engine, true);
   engine::completion stream(shared->runtime, self->plan_.request);
   while (true) {
--- a/src/quota/tenant_quotas.cc
+++ b/src/quota/tenant_quotas.cc
@@ -297,8 +297,8 @@
   }
 }
 
-void tenant_quotas::give_back(const std::string& tenant) {
-  if (state_->limits.contains(tenant)) state_->usage_of(tenant).give_back(state_->now());
+void tenant_quotas::refund(const std::string& tenant) {
+  if (state_->limits.contains(tenant)) state_->usage_of(tenant).refund(state_->now());
 }
 
 }  // namespace herontally::quota
--- a/src/quota/tenant_quotas.h
+++ b/src/quota/tenant_quotas.h
@@ -42,7 +42,7 @@
   // them.
   runtime::task<admission> admit(std::string tenant);
   // Returns the quota of an admitted request that no engine has run.
-  void give_back(const std::string& tenant);
+  void refund(const std::string& tenant);
 
  private:
   struct state;
--- a/src/quota/tenant_usage.cc
+++ b/src/quota/tenant_usage.cc
@@ -141,7 +141,7 @@
   return verdict::granted;
 }
 
-void tenant_usage::give_back(microseconds now) {
+void tenant_usage::refund(microseconds now) {
   refill(now);
   ++returned_;
   recent_.add(now, -1);
--- a/src/quota/tenant_usage.h
+++ b/src/quota/tenant_usage.h
@@ -59,7 +59,7 @@
   // level.
   verdict admit(std::int64_t nodes, bool fresh, runtime::microseconds now);
   // Returns an admitted request that no engine has run.
-  void give_back(runtime::microseconds now);
+  void refund(runtime::microseconds now);
   // Time until the level reaches one request, as far as this node knows; 0 if it has or if there is no quota.
   runtime::microseconds refill_time(runtime::microseconds now);
 
--- a/src/router/attempt.cc
+++ b/src/router/attempt.cc
@@ -181,7 +181,7 @@
   // The engine keeps the prompt that it has read in its cache for a while.
   bool read = outcome == attempt_outcome::answered || outcome == attempt_outcome::stream_cut ||
               outcome == attempt_outcome::client_disconnected;
-  if (read) self->engines.prefixes().note(engine, attempt_plan.parts, self->runtime.now());
+  if (read) self->engines.prefixes().record_use(engine, attempt_plan.parts, self->runtime.now());
   co_return outcome;
 }
 
--- a/src/router/attempt_plan.cc
+++ b/src/router/attempt_plan.cc
@@ -50,8 +50,8 @@
   auto candidates = engines.candidates(request.service, context.evacuated_zones, context.zone, context.group,
                                        context.wall, prompt, context.now);
   for (auto& each : candidates)
-    each.cached_blocks = static_cast<std::size_t>(
-        tokens_before(request.metadata, engines.prefixes().leading(each.number, result.parts, context.now)));
+    each.cached_blocks = static_cast<std::size_t>(tokens_before(
+        request.metadata, engines.prefixes().cached_prefix_length(each.number, result.parts, context.now)));
   placement::placement_request placement_input;
   // Lengths are known per part and not per block, so a block is one token here.
   placement_input.block_tokens = 1;
--- a/src/router/request_router.cc
+++ b/src/router/request_router.cc
@@ -179,7 +179,7 @@
 
 void request_router::state::give_back_quota(const client_exchange& exchange) {
   bool counted = options.quotas && exchange.tenant && !exchange.tenant->empty();
-  if (counted && !exchange.may_have_run) options.quotas->give_back(*exchange.tenant);
+  if (counted && !exchange.may_have_run) options.quotas->refund(*exchange.tenant);
 }
 
 // Ends the wait for the engine's answer when the client disconnects.
--- a/src/simulator/oracle_engines.cc
+++ b/src/simulator/oracle_engines.cc
@@ -43,7 +43,7 @@
                                std::int64_t cold, std::int64_t most) {
   double age = static_cast<double>(where.now() - engine.born) / rt::second;
   if (age >= engine.warm_seconds) return;
-  auto cap = herontally::placement::ramped(cold, most, age, engine.warm_seconds);
+  auto cap = herontally::placement::slow_start_limit(cold, most, age, engine.warm_seconds);
   std::int64_t count = 0;
   std::string from;
   for (auto& each : what.active) {
--- a/tests/input_fuzz/targets.cc
+++ b/tests/input_fuzz/targets.cc
@@ -187,7 +187,7 @@
     auto* made = std::get_if<router::plan>(&planned);
     if (!made) break;
     pool.sent(made->engine, made->unread_tokens, second);
-    pool.prefixes().note(made->engine, made->parts, second);
+    pool.prefixes().record_use(made->engine, made->parts, second);
     pool.answered(made->engine, adapter().read_response(200, odd_head(inputs)), second);
   }
 }
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -111,12 +111,12 @@
         std::vector<placement::engine> engines{cold, ready_engine(1, 0)};
         while (placement::place(request, engines, random)->source) {
           ++pulls;
-          ++engines[0].our_pulls_from;
+          ++engines[0].pulls_as_source;
         }
       }
       INFO(proxies << " proxies, age " << age);
-      REQUIRE(turns == placement::ramped(1, 8, age, 10));
-      REQUIRE(pulls == placement::ramped(1, 4, age, 10));
+      REQUIRE(turns == placement::slow_start_limit(1, 8, age, 10));
+      REQUIRE(pulls == placement::slow_start_limit(1, 4, age, 10));
     }
   }
 }
@@ -144,7 +144,7 @@
 TEST_CASE("an engine with low prediction accuracy needs more cached blocks to be a source") {
   std::mt19937_64 random(9);
   auto inaccurate = ready_engine(0, 5, 40);
-  inaccurate.belief = 0.1;
+  inaccurate.prediction_accuracy = 0.1;
   REQUIRE_FALSE(
       placement::place(request_with_threshold(100), {inaccurate, ready_engine(1, 0)}, random)->source);
 }
@@ -193,13 +193,13 @@
         break;
       case 1: {
         auto found = part.empty() ? 0 : random() % (part.size() + 1);
-        index.correct(0, part, found, part.size());
+        index.report_outcome(0, part, found, part.size());
         for (auto position = found; position < part.size(); ++position) expected_uses.erase(part[position]);
         break;
       }
       case 2:
       case 3:
-        index.note(0, part, now);
+        index.record_use(0, part, now);
         for (auto& hash : part) expected_uses[hash] = now;
         break;
       default:
@@ -209,7 +209,7 @@
     while (expected < part.size() && expected_uses.count(part[expected]) &&
            now - expected_uses[part[expected]] <= 1000)
       ++expected;
-    REQUIRE(index.leading(0, part, now) == expected);
+    REQUIRE(index.cached_prefix_length(0, part, now) == expected);
   }
-  REQUIRE(index.belief(0) <= 1);
+  REQUIRE(index.prediction_accuracy(0) <= 1);
 }
--- a/tests/quota_test.cc
+++ b/tests/quota_test.cc
@@ -159,7 +159,7 @@
   usage.count_offered(200 * second);
   REQUIRE(usage.admit(1, true, 200 * second) == verdict::granted);
   CHECK(usage.level(200 * second) == Approx(9));
-  usage.give_back(200 * second);
+  usage.refund(200 * second);
   CHECK(usage.level(200 * second) == Approx(10));
   auto count = usage.own_count(200 * second);
   CHECK(count.admitted - count.returned == 0);
--- a/tests/router_plan_test.cc
+++ b/tests/router_plan_test.cc
@@ -94,7 +94,7 @@
   plan_fixture fixture;
   fixture.engine("one", "a");
   fixture.engine("two", "b");
-  fixture.engines.prefixes().note(1, router::part_keys(prompt(), fixture.table.routes[0]), fixture.now);
+  fixture.engines.prefixes().record_use(1, router::part_keys(prompt(), fixture.table.routes[0]), fixture.now);
   CHECK(fixture.planned_engine(prompt()) == "two");
   // A difference in load up to the length of the prompt doesn't count; beyond that it decides.
   fixture.engines.sent(1, 1000, fixture.now);
@@ -113,7 +113,7 @@
   plan_fixture fixture;
   fixture.engine("one", "b");
   fixture.engine("two", "b");
-  fixture.engines.prefixes().note(1, router::part_keys(prompt(), fixture.table.routes[0]), fixture.now);
+  fixture.engines.prefixes().record_use(1, router::part_keys(prompt(), fixture.table.routes[0]), fixture.now);
   auto other = prompt();
   other.model = "n";
   auto planned = fixture.plan(other);
@@ -184,7 +184,7 @@
   fixture.table.services[0].model->min_cached_token_delta = 2048;
   fixture.engine("one", "a");
   fixture.engine("two", "b");
-  fixture.engines.prefixes().note(1, router::part_keys(prompt(), fixture.table.routes[0]), fixture.now);
+  fixture.engines.prefixes().record_use(1, router::part_keys(prompt(), fixture.table.routes[0]), fixture.now);
   for (int turn = 0; turn < 8; ++turn) fixture.engines.sent(1, 1000, fixture.now);
   auto planned = fixture.plan(prompt());
   auto& plan = std::get<router::plan>(planned);
