--- a/src/agent/node.cc
+++ b/src/agent/node.cc
@@ -27,7 +27,7 @@
   }
   void serve_http(const runtime::inbound_request& request, const http_api::writer& out) const {
     nlohmann::json detail{{"revision", shared->configs.revision()}};
-    if (!http_api::common_pages(request, out, shared->logger, ready(), detail))
+    if (!http_api::serve_common_endpoints(request, out, shared->logger, ready(), detail))
       http_api::reject(out, 404, "no such page", http_api::executed::no);
   }
 };
--- a/src/control_node/operator_api.cc
+++ b/src/control_node/operator_api.cc
@@ -119,7 +119,7 @@
 }  // namespace
 
 std::optional<std::string> operator_api::authorized_partner(const runtime::inbound_request& request) const {
-  auto token = http_api::bearer(request);
+  auto token = http_api::bearer_token(request);
   for (auto& known : context_->node_settings.operators)
     if (!token.empty() && known.token == token) return known.partner;
   return std::nullopt;
@@ -336,7 +336,7 @@
 task<> operator_api::serve(runtime::inbound_request request, http_api::writer out) {
   auto self = shared_from_this();
   bool ready = self->reader_->is_confirmed() && !self->context_->leaving;
-  if (http_api::common_pages(request, out, self->context_->logger, ready)) co_return;
+  if (http_api::serve_common_endpoints(request, out, self->context_->logger, ready)) co_return;
   auto parts = http_api::split_path(request.path);
   bool item = parts.size() == 4 && parts[0] == "v1";
   if (request.path == "/v1/desired")
--- a/src/http_api/responses.cc
+++ b/src/http_api/responses.cc
@@ -46,8 +46,8 @@
   out->reply({200, {{"Content-Type", type}}, text});
 }
 
-bool common_pages(const runtime::inbound_request& incoming, const writer& out, const logging::logger& logger,
-                  bool ready, json detail) {
+bool serve_common_endpoints(const runtime::inbound_request& incoming, const writer& out,
+                            const logging::logger& logger, bool ready, json detail) {
   if (incoming.method != "GET") return false;
   if (incoming.path == "/healthz") {
     reply_json(out, 200, {{"status", "alive"}});
@@ -77,7 +77,7 @@
   reject(out, 500, "internal error", executed::unknown);
 }
 
-std::string bearer(const runtime::inbound_request& incoming) {
+std::string bearer_token(const runtime::inbound_request& incoming) {
   auto found = incoming.headers.find("authorization");
   if (found == incoming.headers.end() || found->second.rfind("Bearer ", 0) != 0) return "";
   return found->second.substr(7);
--- a/src/http_api/responses.h
+++ b/src/http_api/responses.h
@@ -25,8 +25,8 @@
 void reply_text(const writer& out, const std::string& type, const std::string& text);
 // Answers GET requests for /healthz, /readyz and /metrics and returns true; returns false for all others.
 // `detail`: further fields of the body of /readyz.
-bool common_pages(const runtime::inbound_request& incoming, const writer& out, const logging::logger& logger,
-                  bool ready, json detail = json::object());
+bool serve_common_endpoints(const runtime::inbound_request& incoming, const writer& out,
+                            const logging::logger& logger, bool ready, json detail = json::object());
 // Runs a request's handler. An exception that it throws is reported by `report_failure` and answered with
 // 500; the process continues.
 runtime::task<> serve_guarded(runtime::task<> work, writer out, logging::logger logger);
@@ -34,6 +34,6 @@
 // the exception's message.
 void report_failure(const logging::logger& logger, const std::string& what);
 // The token of an "Authorization: Bearer" header; empty if there is none.
-std::string bearer(const runtime::inbound_request& incoming);
+std::string bearer_token(const runtime::inbound_request& incoming);
 
 }  // namespace herontally::http_api
--- a/src/platform_stand_in/node.cc
+++ b/src/platform_stand_in/node.cc
@@ -48,7 +48,7 @@
 
   void serve_request(const runtime::inbound_request& incoming, const http_api::writer& out) {
     if (silent) return out->cut();
-    if (http_api::common_pages(incoming, out, logger, true)) return;
+    if (http_api::serve_common_endpoints(incoming, out, logger, true)) return;
     if (incoming.path == "/v1/engines" && incoming.method == "GET")
       return http_api::reply_json(out, 200, {{"engines", shown}});
     if (incoming.path == "/v1/nodes" && incoming.method == "GET")
--- a/src/proxy/node.cc
+++ b/src/proxy/node.cc
@@ -173,7 +173,8 @@
   bool evacuated = context->config && context->config->evacuated_zones.contains(context->node_settings.zone);
   bool ready = context->is_fresh() && !context->shutting_down && !evacuated;
   auto revision = context->config ? context->config->revision : 0;
-  if (http_api::common_pages(request, out, context->logger, ready, {{"revision", revision}})) co_return;
+  if (http_api::serve_common_endpoints(request, out, context->logger, ready, {{"revision", revision}}))
+    co_return;
   auto requested = target_of(request);
   if (!self->admit(requested, out)) co_return;
   auto admitted = context->admit(request.peer, out);
--- a/src/proxy/platform_ingress.cc
+++ b/src/proxy/platform_ingress.cc
@@ -12,7 +12,7 @@
 router::router_options options_of(const context& shared, quota::tenant_quotas quotas) {
   router::router_options options;
   options.quotas = std::move(quotas);
-  options.operation_key_time = shared.node_settings.operation_key_milliseconds * millisecond;
+  options.operation_key_retention = shared.node_settings.operation_key_milliseconds * millisecond;
   options.zone = shared.node_settings.zone;
   options.min_cached_token_delta = shared.platform.min_cached_token_delta;
   return options;
@@ -120,7 +120,7 @@
   runtime.http_drain(node_settings.ingress);
   co_await runtime.sleep(std::min<std::int64_t>(max_arrival_milliseconds, notice / 2) * millisecond);
   co_await self->wait_until_idle(last);
-  self->router_.give_up_requests();
+  self->router_.abort_requests();
   // Leaves time to send their answers and those to requests read last.
   auto end = runtime.now() + last_answers_time;
   auto is_unanswered = [&] {
--- a/src/router/attempt.cc
+++ b/src/router/attempt.cc
@@ -76,7 +76,7 @@
 
 void request_router::state::record_failure(const client_exchange& exchange, interning::symbol engine,
                                            const runtime::http_failure& failure) {
-  engines.failed(engine, !failure.sent, runtime.now());
+  engines.request_failed(engine, !failure.sent, runtime.now());
   bool on_idle_connection = failure.sent && !failure.garbled && failure.idle_before >= 0;
   if (!on_idle_connection) return;
   // The engine may have dropped the idle connection; the request may have run nevertheless.
@@ -123,7 +123,7 @@
     co_return attempt_outcome::in_progress;
   }
   if (not_run && head.status != bad_request) {
-    self->engines.answered(attempt_plan.engine, metadata, self->runtime.now());
+    self->engines.request_answered(attempt_plan.engine, metadata, self->runtime.now());
     co_await self->read_to_end(stream);
     co_return attempt_outcome::not_run;
   }
@@ -135,9 +135,9 @@
   else
     outcome = co_await self->forward_complete(exchange, stream, head.status, end_to_end(head.headers));
   if (outcome == attempt_outcome::answered)
-    self->engines.answered(attempt_plan.engine, metadata, self->runtime.now());
+    self->engines.request_answered(attempt_plan.engine, metadata, self->runtime.now());
   if (outcome == attempt_outcome::unknown || outcome == attempt_outcome::stream_cut)
-    self->engines.failed(attempt_plan.engine, false, self->runtime.now());
+    self->engines.request_failed(attempt_plan.engine, false, self->runtime.now());
   co_return outcome;
 }
 
@@ -160,9 +160,9 @@
   auto self = shared_from_this();
   auto engine = attempt_plan.engine;
   self->log_placement(*exchange, attempt_plan);
-  self->engines.sent(engine, attempt_plan.unread_tokens, self->runtime.now());
+  self->engines.request_sent(engine, attempt_plan.uncached_tokens, self->runtime.now());
   absl::Cleanup ended = [self, engine] {
-    self->engines.ended(engine);
+    self->engines.request_ended(engine);
     self->notify_waiting();
   };
   auto stream = std::make_shared<runtime::http_stream>(self->runtime, attempt_plan.address,
@@ -171,7 +171,7 @@
     if (auto alive = weak.lock()) alive->interrupt();
   };
   auto first = co_await stream->next(std::max<microseconds>(1, exchange->deadline - self->runtime.now()));
-  self->engines.started_answering(engine, attempt_plan.unread_tokens);
+  self->engines.started_answering(engine, attempt_plan.uncached_tokens);
   auto outcome = attempt_outcome::deadline_exceeded;
   if (first && !exchange->client_disconnected)
     outcome = co_await self->handle_first_event(exchange, attempt_plan, stream, std::move(*first));
--- a/src/router/attempt_plan.cc
+++ b/src/router/attempt_plan.cc
@@ -40,7 +40,7 @@
   return tokens;
 }
 
-std::variant<plan, no_plan> make_plan(const subject& request, engine_pool& engines,
+std::variant<plan, no_plan> make_plan(const planning_request& request, engine_pool& engines,
                                       const planning_context& context, std::mt19937_64& random) {
   plan result;
   result.version = context.table.version;
@@ -77,7 +77,7 @@
   result.engine = destination.number;
   result.engine_id = destination.name;
   result.address = destination.address;
-  result.unread_tokens = prompt - static_cast<std::int64_t>(destination.cached_blocks);
+  result.uncached_tokens = prompt - static_cast<std::int64_t>(destination.cached_blocks);
   result.cached_tokens = static_cast<std::int64_t>(destination.cached_blocks);
   if (choice->source) {
     result.source = candidates[*choice->source].name;
--- a/src/router/attempt_plan.h
+++ b/src/router/attempt_plan.h
@@ -19,7 +19,7 @@
 };
 
 // The request to plan for.
-struct subject {
+struct planning_request {
   const routing::route& route;
   const routing::service& service;
   const platform_protocol::request_metadata& metadata;
@@ -34,7 +34,7 @@
   interning::symbol engine = 0;
   std::string engine_id, address;
   std::optional<std::string> source;  // id of an engine that holds sufficiently more of the prompt
-  std::int64_t cached_tokens = 0, unread_tokens = 0, source_tokens = 0;
+  std::int64_t cached_tokens = 0, uncached_tokens = 0, source_tokens = 0;
   std::vector<std::string> parts;  // keys in the prefix index of what the engine will have cached afterwards
   std::size_t connections = 1;     // limit of this node's connections to the engine
 };
@@ -50,7 +50,7 @@
 
 // Chooses an engine among those of the request's service. Counts nothing: the caller reports the request to
 // `engines` once it is sent.
-std::variant<plan, no_plan> make_plan(const subject& request, engine_pool& engines,
+std::variant<plan, no_plan> make_plan(const planning_request& request, engine_pool& engines,
                                       const planning_context& context, std::mt19937_64& random);
 
 // Draws one of the route's services at random, weighted by their shares. nullptr: no target has a positive
--- a/src/router/engine_pool.cc
+++ b/src/router/engine_pool.cc
@@ -124,7 +124,7 @@
   return count;
 }
 
-void engine_pool::sent(interning::symbol number, std::int64_t uncached_tokens, microseconds now) {
+void engine_pool::request_sent(interning::symbol number, std::int64_t uncached_tokens, microseconds now) {
   auto& entry = entries_[number];
   ++entry.in_flight;
   entry.pending_prompt_tokens += uncached_tokens;
@@ -141,10 +141,10 @@
   entries_[number].pending_prompt_tokens -= uncached_tokens;
 }
 
-void engine_pool::ended(interning::symbol number) { --entries_[number].in_flight; }
+void engine_pool::request_ended(interning::symbol number) { --entries_[number].in_flight; }
 
-void engine_pool::answered(interning::symbol number, const platform_protocol::response_metadata& metadata,
-                           microseconds now) {
+void engine_pool::request_answered(interning::symbol number,
+                                   const platform_protocol::response_metadata& metadata, microseconds now) {
   auto& entry = entries_[number];
   entry.consecutive_failures = 0;
   entry.on_probation = false;
@@ -154,7 +154,7 @@
         std::max(entry.slow_start_until, now + metadata.slow_start_milliseconds * millisecond);
 }
 
-void engine_pool::failed(interning::symbol number, bool hard, microseconds now) {
+void engine_pool::request_failed(interning::symbol number, bool hard, microseconds now) {
   auto& entry = entries_[number];
   ++entry.consecutive_failures;
   entry.last_answer_at = -1;
--- a/src/router/engine_pool.h
+++ b/src/router/engine_pool.h
@@ -65,18 +65,18 @@
                            microseconds now) const;
 
   // A request is sent. `uncached_tokens`: prompt tokens that the engine is not believed to have cached.
-  void sent(interning::symbol number, std::int64_t uncached_tokens, microseconds now);
+  void request_sent(interning::symbol number, std::int64_t uncached_tokens, microseconds now);
   // The engine has begun to answer a request or never will: its prompt is no longer pending. The same
-  // `uncached_tokens` as for `sent`.
+  // `uncached_tokens` as for `request_sent`.
   void started_answering(interning::symbol number, std::int64_t uncached_tokens);
   // A request no longer occupies the engine, however it ended.
-  void ended(interning::symbol number);
+  void request_ended(interning::symbol number);
   // Resets the failure count and ends the probation.
-  void answered(interning::symbol number, const platform_protocol::response_metadata& metadata,
-                microseconds now);
+  void request_answered(interning::symbol number, const platform_protocol::response_metadata& metadata,
+                        microseconds now);
   // Ejects the engine for 0.5 to 4 s, at once if `hard` (the request could not be sent), otherwise from the
   // second failure in a row.
-  void failed(interning::symbol number, bool hard, microseconds now);
+  void request_failed(interning::symbol number, bool hard, microseconds now);
   // Another engine instance answers at its address: ejects the engine for an hour and clears its prefixes.
   void replaced(interning::symbol number);
 
--- a/src/router/operation.cc
+++ b/src/router/operation.cc
@@ -81,7 +81,7 @@
   first.service = exchange->service.name;
   first.deduplicated = exchange->service.deduplicates;
   first.running_until = self->runtime.wall() + (exchange->deadline - self->runtime.now());
-  first.keep_until = self->runtime.wall() + self->options.operation_key_time + clock_margin;
+  first.keep_until = self->runtime.wall() + self->options.operation_key_retention + clock_margin;
   auto claimed = co_await self->operations.claim(exchange->operation_id(), first,
                                                  self->shutdown.limit_to_shutdown(claim_deadline(*exchange)));
   if (auto refusal = rejection_of(claimed.status)) {
--- a/src/router/request.cc
+++ b/src/router/request.cc
@@ -167,7 +167,7 @@
 task<planning_result> request_router::state::plan_attempt(client_exchange_pointer exchange,
                                                           std::vector<interning::symbol> avoid, int attempt) {
   auto self = shared_from_this();
-  subject asked{exchange->route, exchange->service, exchange->metadata, std::move(avoid), attempt};
+  planning_request asked{exchange->route, exchange->service, exchange->metadata, std::move(avoid), attempt};
   auto planned = make_plan(asked, self->engines, self->make_planning_context(), self->runtime.random());
   if (auto* attempt_plan = std::get_if<plan>(&planned)) co_return std::move(*attempt_plan);
   if (std::get<no_plan>(planned) == no_plan::no_engine) {
--- a/src/router/request_router.cc
+++ b/src/router/request_router.cc
@@ -64,7 +64,7 @@
   state_->notify_waiting();
 }
 
-void request_router::give_up_requests() {
+void request_router::abort_requests() {
   // A copy: an interrupted request may end at once and remove itself from the set.
   auto left = state_->exchanges;
   for (auto& exchange : left)
@@ -177,7 +177,7 @@
   co_return false;
 }
 
-void request_router::state::give_back_quota(const client_exchange& exchange) {
+void request_router::state::refund_quota(const client_exchange& exchange) {
   bool counted = options.quotas && exchange.tenant && !exchange.tenant->empty();
   if (counted && !exchange.may_have_run) options.quotas->refund(*exchange.tenant);
 }
@@ -223,7 +223,7 @@
   watch_for_disconnect(exchange);
   bool admitted = co_await self->admit_by_quota(exchange);
   if (admitted) co_await self->run(exchange);
-  if (admitted) self->give_back_quota(*exchange);
+  if (admitted) self->refund_quota(*exchange);
 }
 
 }  // namespace herontally::router
--- a/src/router/request_router.h
+++ b/src/router/request_router.h
@@ -22,7 +22,7 @@
   std::optional<std::int64_t> min_cached_token_delta;
   std::optional<quota::tenant_quotas> quotas;  // without a value quotas are not enforced
   // How long an operation key identifies the same operation.
-  runtime::microseconds operation_key_time = 60 * runtime::second;
+  runtime::microseconds operation_key_retention = 60 * runtime::second;
 };
 
 // Copies share one state. Not thread-safe: all calls come from the runtime's event loop.
@@ -49,7 +49,7 @@
   void begin_shutdown(runtime::microseconds ends_at);
   // Called at the end of the shutdown: ends every wait for an engine's answer. The client gets an error
   // response, or a cut connection if the head of a stream was already sent.
-  void give_up_requests();
+  void abort_requests();
   std::int64_t in_flight() const;
   // Serves one request and replies through `out`.
   runtime::task<> serve(runtime::inbound_request request, http_api::writer out);
--- a/src/router/request_router_state.h
+++ b/src/router/request_router_state.h
@@ -133,10 +133,10 @@
   // Looks up the request's credential in the current tenants; 401 for an unknown one, unless the route is
   // anonymous.
   std::variant<caller_identity, rejection> identify_caller(const client_exchange& exchange) const;
-  // Takes the request from its tenant's quota. False: the request was rejected. `give_back_quota` returns
+  // Takes the request from its tenant's quota. False: the request was rejected. `refund_quota` returns
   // what was taken if no engine can have run the request.
   task<bool> admit_by_quota(client_exchange_pointer exchange);
-  void give_back_quota(const client_exchange& exchange);
+  void refund_quota(const client_exchange& exchange);
   const routing::route* find_route(const client_exchange& exchange) const;
 
   // Requests waiting for an engine, most urgent first. `wait_for_capacity` returns false once `until` or the
--- a/src/storage_node/node.cc
+++ b/src/storage_node/node.cc
@@ -75,7 +75,7 @@
   bool served = self->runtime.http_serve(
       self->config.http, [weak](runtime::inbound_request request, http_api::writer out) {
         auto locked = weak.lock();
-        if (!locked || http_api::common_pages(request, out, locked->logger, locked->ready)) return;
+        if (!locked || http_api::serve_common_endpoints(request, out, locked->logger, locked->ready)) return;
         http_api::reject(out, 404, "no such page", http_api::executed::no);
       });
   if (!served) co_return "http can't be listened on: " + self->config.http;
--- a/tests/input_fuzz/targets.cc
+++ b/tests/input_fuzz/targets.cc
@@ -181,14 +181,14 @@
   auto metadata = adapter().read_request(odd_head(inputs));
   std::set<std::string> evacuated;
   for (int turn = 0; turn < 6; ++turn) {
-    router::subject asked{table.routes[0], table.services[0], metadata, {}, 1};
+    router::planning_request asked{table.routes[0], table.services[0], metadata, {}, 1};
     router::planning_context context{table, evacuated, "zone-a", 3, router::node_group{3, 0}, second, second};
     auto planned = router::make_plan(asked, pool, context, inputs.random());
     auto* made = std::get_if<router::plan>(&planned);
     if (!made) break;
-    pool.sent(made->engine, made->unread_tokens, second);
+    pool.request_sent(made->engine, made->uncached_tokens, second);
     pool.prefixes().record_use(made->engine, made->parts, second);
-    pool.answered(made->engine, adapter().read_response(200, odd_head(inputs)), second);
+    pool.request_answered(made->engine, adapter().read_response(200, odd_head(inputs)), second);
   }
 }
 
--- a/tests/router_plan_test.cc
+++ b/tests/router_plan_test.cc
@@ -70,7 +70,7 @@
     engines.set_list(listed.dump(), now);
   }
   std::variant<router::plan, router::no_plan> plan(platform_protocol::request_metadata metadata = {}) {
-    router::subject request{table.routes[0], table.services[0], metadata, {}, 1};
+    router::planning_request request{table.routes[0], table.services[0], metadata, {}, 1};
     router::planning_context context{table, evacuated, "a", 3, group, now, now};
     return router::make_plan(request, engines, context, random);
   }
@@ -97,14 +97,14 @@
   fixture.engines.prefixes().record_use(1, router::part_keys(prompt(), fixture.table.routes[0]), fixture.now);
   CHECK(fixture.planned_engine(prompt()) == "two");
   // A difference in load up to the length of the prompt doesn't count; beyond that it decides.
-  fixture.engines.sent(1, 1000, fixture.now);
+  fixture.engines.request_sent(1, 1000, fixture.now);
   CHECK(fixture.planned_engine(prompt()) == "two");
-  fixture.engines.sent(1, 1000, fixture.now);
+  fixture.engines.request_sent(1, 1000, fixture.now);
   CHECK(fixture.planned_engine(prompt()) == "one");
   // Prompts that were read, and requests sent a while ago, no longer count.
   fixture.engines.started_answering(1, 1000);
   fixture.engines.started_answering(1, 1000);
-  fixture.engines.ended(1);
+  fixture.engines.request_ended(1);
   fixture.now += 5 * second;
   CHECK(fixture.planned_engine(prompt()) == "two");
 }
@@ -134,14 +134,14 @@
   CHECK(fixture.planned_engine().empty());
   fixture.evacuated.clear();
   CHECK(fixture.planned_engine() == "one");
-  fixture.engines.failed(0, true, fixture.now);
+  fixture.engines.request_failed(0, true, fixture.now);
   CHECK(fixture.planned_engine().empty());
   // After the ejection one request probes the engine, and no second one before it is answered.
   fixture.now += 5 * second;
   CHECK(fixture.planned_engine() == "one");
-  fixture.engines.sent(0, 0, fixture.now);
+  fixture.engines.request_sent(0, 0, fixture.now);
   CHECK(fixture.planned_engine().empty());
-  fixture.engines.answered(0, {}, fixture.now);
+  fixture.engines.request_answered(0, {}, fixture.now);
   CHECK(fixture.planned_engine() == "one");
 }
 
@@ -152,8 +152,8 @@
   for (int turn = 0; turn < 100; ++turn) {
     fixture.now += 10 * millisecond;
     if (fixture.planned_engine().empty()) continue;
-    fixture.engines.sent(0, 0, fixture.now);
-    fixture.engines.ended(0);
+    fixture.engines.request_sent(0, 0, fixture.now);
+    fixture.engines.request_ended(0);
     ++sent;
   }
   // 12 requests per second for three nodes.
@@ -172,10 +172,10 @@
   // 60 connections for the three nodes and two more: 12 each.
   for (int sent = 0; sent < 12; ++sent) {
     CHECK(fixture.planned_engine() == "one");
-    fixture.engines.sent(0, 0, fixture.now);
+    fixture.engines.request_sent(0, 0, fixture.now);
   }
   CHECK(fixture.planned_engine().empty());
-  fixture.engines.ended(0);
+  fixture.engines.request_ended(0);
   CHECK(fixture.planned_engine() == "one");
 }
 
@@ -185,7 +185,7 @@
   fixture.engine("one", "a");
   fixture.engine("two", "b");
   fixture.engines.prefixes().record_use(1, router::part_keys(prompt(), fixture.table.routes[0]), fixture.now);
-  for (int turn = 0; turn < 8; ++turn) fixture.engines.sent(1, 1000, fixture.now);
+  for (int turn = 0; turn < 8; ++turn) fixture.engines.request_sent(1, 1000, fixture.now);
   auto planned = fixture.plan(prompt());
   auto& plan = std::get<router::plan>(planned);
   CHECK(plan.engine_id == "one");
@@ -214,6 +214,6 @@
     auto planned = fixture.plan(metadata);
     auto* found = std::get_if<router::plan>(&planned);
     REQUIRE(found);
-    fixture.engines.sent(found->engine, found->unread_tokens, fixture.now);
+    fixture.engines.request_sent(found->engine, found->uncached_tokens, fixture.now);
   }
 }
--- a/tests/shutdown_admission_test.cc
+++ b/tests/shutdown_admission_test.cc
@@ -74,7 +74,7 @@
     auto runtime = stores.world.runtime_of("w");
     runtime.after(pause, [this, runtime, length] {
       node_router->begin_shutdown(runtime.now() + length);
-      runtime.after(length, [this] { node_router->give_up_requests(); });
+      runtime.after(length, [this] { node_router->abort_requests(); });
     });
   }
   // Sends a request that the engine never answers.
--- a/tests/slow_start_share_test.cc
+++ b/tests/slow_start_share_test.cc
@@ -47,11 +47,11 @@
       auto wall = now + clock_offsets[node];
       router::planning_context context{table, evacuated, "a", 64, groups[node], now, wall};
       platform_protocol::request_metadata metadata;
-      router::subject request{table.routes[0], table.services[0], metadata, {}, 1};
+      router::planning_request request{table.routes[0], table.services[0], metadata, {}, 1};
       auto planned = router::make_plan(request, pools[node], context, random);
       if (!std::holds_alternative<router::plan>(planned)) continue;
-      pools[node].sent(0, 0, now);
-      pools[node].ended(0);
+      pools[node].request_sent(0, 0, now);
+      pools[node].request_ended(0);
       sends.push_back(now);
     }
   }
