--- a/src/ledger/conversation_ledger.cc
+++ b/src/ledger/conversation_ledger.cc
@@ -36,7 +36,7 @@
 // Result of a reservation decision. `changed` is set if the record must be written.
 struct reservation_decision {
   reservation_status status = reservation_status::unreachable;
-  std::optional<ended_turn> before;
+  std::optional<ended_turn> earlier_outcome;
   std::string needed_page;
   bool changed = false;
 };
@@ -68,7 +68,7 @@
 bool decide_from_history(conversation_record& current, const reservation_context& context,
                          reservation_decision& decision) {
   if (auto* completed = find_completed_turn(current, context.request.turn)) {
-    decision.before = *completed;
+    decision.earlier_outcome = *completed;
     decision.status = reservation_status::already_ended;
     return true;
   }
@@ -151,7 +151,7 @@
     }
     auto decision = decide_reservation(current, {request, pages, runtime.wall(), ended});
     attempt->needed_page = decision.needed_page;
-    attempt->result = {decision.status, current, decision.before};
+    attempt->result = {decision.status, current, decision.earlier_outcome};
     if (!decision.changed) return std::nullopt;
     return to_text(current);
   };
--- a/src/ledger/conversation_ledger.h
+++ b/src/ledger/conversation_ledger.h
@@ -35,8 +35,8 @@
 };
 struct reservation_result {
   reservation_status status = reservation_status::unreachable;
-  conversation_record now;           // the agreed record, if it is known
-  std::optional<ended_turn> before;  // set for `already_ended`
+  conversation_record now;                    // the agreed record, if it is known
+  std::optional<ended_turn> earlier_outcome;  // set for `already_ended`
 };
 
 enum class settlement_status {
--- a/src/ledger/operation_ledger.cc
+++ b/src/ledger/operation_ledger.cc
@@ -37,7 +37,7 @@
   std::optional<operation_record> current;
   if (text) current = operation_record_from_text(*text);
   if (text && !current) {
-    result.status = claim_status::unknown_end;
+    result.status = claim_status::outcome_unknown;
     return std::nullopt;
   }
   bool available = !current || current->state == operation_state::not_run || is_expired(*current, wall);
@@ -52,7 +52,8 @@
   else if (is_owner || current->deduplicated || broken("operation_claim"))
     result.status = claim_status::claimed;
   else
-    result.status = wall <= current->running_until ? claim_status::in_progress : claim_status::unknown_end;
+    result.status =
+        wall <= current->running_until ? claim_status::in_progress : claim_status::outcome_unknown;
   return std::nullopt;
 }
 
--- a/src/ledger/operation_ledger.h
+++ b/src/ledger/operation_ledger.h
@@ -65,12 +65,12 @@
 std::string operation_record_key(const std::string& operation);
 
 enum class claim_status {
-  claimed,      // durable; the operation may be sent to an engine of the record's service
-  answered,     // the operation ran; the record holds its response
-  in_progress,  // another request with this key may still be running
-  unknown_end,  // the operation may have run, and its response is lost
-  unreachable,  // no majority, or no disk capacity; no claim was made
-  uncertain,    // no majority; a claim may have been made, but the operation was not run
+  claimed,          // durable; the operation may be sent to an engine of the record's service
+  answered,         // the operation ran; the record holds its response
+  in_progress,      // another request with this key may still be running
+  outcome_unknown,  // the operation may have run, and its response is lost
+  unreachable,      // no majority, or no disk capacity; no claim was made
+  uncertain,        // no majority; a claim may have been made, but the operation was not run
 };
 struct claim_result {
   claim_status status = claim_status::unreachable;
--- a/src/ledger/program_ledger.h
+++ b/src/ledger/program_ledger.h
@@ -16,7 +16,7 @@
 // Input and output are stored unchanged and may contain any bytes.
 struct turn_record {
   std::string id, previous, input, output;
-  std::int64_t kept_until = 0;  // end of its retention; wall-clock time, microseconds
+  std::int64_t retained_until = 0;  // end of its retention; wall-clock time, microseconds
 };
 
 enum class program_reservation {
@@ -39,7 +39,7 @@
 
 // Returns the earliest end of retention of the chain's turns, as a wall-clock time in microseconds, or the
 // largest number if there are no turns.
-std::int64_t kept_until(const chain_result& chain);
+std::int64_t earliest_retention_end(const chain_result& chain);
 
 // Copies share one state. Deadlines are times of the runtime's steady clock, in microseconds.
 class program_ledger {
--- a/src/ledger/program_record.cc
+++ b/src/ledger/program_record.cc
@@ -116,7 +116,7 @@
 std::string to_text(const turn_record& record) {
   nlohmann::json line = {{"previous", record.previous.empty() ? std::string() : turn_key(record.previous)},
                          {"id", escape(record.id)},
-                         {"kept_until", record.kept_until},
+                         {"kept_until", record.retained_until},
                          {"input", record.input.size()}};
   std::string out = line.dump();
   out.reserve(out.size() + 1 + record.input.size() + record.output.size());
@@ -142,7 +142,7 @@
       if (previous->rfind(turn_prefix, 0) != 0) return std::nullopt;
       record.previous = previous->substr(std::string(turn_prefix).size());
     }
-    record.kept_until = line.at("kept_until").get<std::int64_t>();
+    record.retained_until = line.at("kept_until").get<std::int64_t>();
     record.input = text.substr(begin, input);
     record.output = text.substr(begin + input);
     return record;
@@ -158,7 +158,7 @@
   return line["previous"].get<std::string>();
 }
 
-std::optional<std::int64_t> kept_until_of(std::string_view text) {
+std::optional<std::int64_t> retention_end_of(std::string_view text) {
   auto line = parse_first_line(text);
   if (!line.is_object() || !line.contains("kept_until") || !line["kept_until"].is_number_integer())
     return std::nullopt;
--- a/src/ledger/program_record.h
+++ b/src/ledger/program_record.h
@@ -50,6 +50,6 @@
 std::string previous_key_of(const std::string& text);
 // Returns when the turn's retention ends, as a wall-clock time in microseconds, or nullopt if the text is no
 // turn record.
-std::optional<std::int64_t> kept_until_of(std::string_view text);
+std::optional<std::int64_t> retention_end_of(std::string_view text);
 
 }  // namespace herontally::ledger
--- a/src/ledger/turn_chains.cc
+++ b/src/ledger/turn_chains.cc
@@ -36,9 +36,9 @@
   }
 }
 
-std::int64_t kept_until(const chain_result& chain) {
+std::int64_t earliest_retention_end(const chain_result& chain) {
   auto earliest = std::numeric_limits<std::int64_t>::max();
-  for (auto& turn : chain.turns) earliest = std::min(earliest, turn.kept_until);
+  for (auto& turn : chain.turns) earliest = std::min(earliest, turn.retained_until);
   return earliest;
 }
 
--- a/src/proxy/turn_handler.cc
+++ b/src/proxy/turn_handler.cc
@@ -189,7 +189,7 @@
              {{"spent", result.now.spent}, {"request_id", turn->request.request_id}});
       break;
     case reservation_status::already_ended:
-      co_await self->send_earlier_outcome(turn, *result.before);
+      co_await self->send_earlier_outcome(turn, *result.earlier_outcome);
       break;
     case reservation_status::disk_full:
       shared.count_rejection("disks full");
--- a/src/router/attempt.cc
+++ b/src/router/attempt.cc
@@ -226,7 +226,7 @@
 static ledger::turn_record make_turn_record(const client_exchange& exchange, std::int64_t promised_until) {
   ledger::turn_record record;
   record.id = exchange.ledger_id(exchange.metadata.attempt);
-  record.kept_until = promised_until + chain_margin;
+  record.retained_until = promised_until + chain_margin;
   bool outlives_chain =
       exchange.chain_expires_at < promised_until && exchange.body.size() <= max_copied_chain;
   record.previous = outlives_chain ? "" : exchange.ledger_id(exchange.metadata.previous);
--- a/src/router/operation.cc
+++ b/src/router/operation.cc
@@ -34,7 +34,7 @@
       return std::nullopt;
     case claim_status::in_progress:
       return rejection{conflict, "the operation is in progress", 100};
-    case claim_status::unknown_end:
+    case claim_status::outcome_unknown:
       return rejection{bad_gateway, "the operation may have run, and its answer is lost"};
     case claim_status::unreachable:
     case claim_status::uncertain:
--- a/src/router/request.cc
+++ b/src/router/request.cc
@@ -90,7 +90,7 @@
     co_return false;
   }
   exchange->body = body_with_chain(chain, exchange->request.body);
-  exchange->chain_expires_at = ledger::kept_until(chain);
+  exchange->chain_expires_at = ledger::earliest_retention_end(chain);
   co_return true;
 }
 
--- a/src/storage_node/expiry.h
+++ b/src/storage_node/expiry.h
@@ -22,6 +22,6 @@
 // Returns the end of a stored turn's retention, as a wall-clock time in microseconds, and the largest number
 // for any other record. Voters keep it beside each record, so that expired turns are found without reading
 // the records.
-std::int64_t kept_until_attribute(const std::string& record, std::string_view bytes);
+std::int64_t retention_end_attribute(const std::string& record, std::string_view bytes);
 
 }  // namespace herontally::storage_node
--- a/src/storage_node/node.cc
+++ b/src/storage_node/node.cc
@@ -26,7 +26,7 @@
     options.group = "store";
     options.bucket_count = 8;
     options.limit_bytes = config.disk_megabytes << 20;
-    options.attribute = kept_until_attribute;
+    options.attribute = retention_end_attribute;
     return options;
   }
   state(runtime::handle handle, settings::settings node_config, logging::logger node_logger)
--- a/src/storage_node/program_expiry.cc
+++ b/src/storage_node/program_expiry.cc
@@ -97,8 +97,8 @@
   const std::string prefix = std::string("c/") + ledger::turn_prefix;
   do {
     std::vector<std::string> expired;
-    auto check_record = [&](const std::string& record, std::int64_t kept_until) {
-      if (runtime.wall() - ledger::retention_margin > kept_until) expired.push_back(record.substr(2));
+    auto check_record = [&](const std::string& record, std::int64_t retained_until) {
+      if (runtime.wall() - ledger::retention_margin > retained_until) expired.push_back(record.substr(2));
     };
     after = voter.records().for_each_attribute(bucket, prefix, after, records_per_step, check_record);
     if (!expired.empty()) {
@@ -110,10 +110,10 @@
 }
 }  // namespace
 
-std::int64_t kept_until_attribute(const std::string& record, std::string_view bytes) {
+std::int64_t retention_end_attribute(const std::string& record, std::string_view bytes) {
   const std::string prefix = std::string("c/") + ledger::turn_prefix;
   constexpr std::int64_t never = std::numeric_limits<std::int64_t>::max();
-  return record.rfind(prefix, 0) == 0 ? ledger::kept_until_of(bytes).value_or(never) : never;
+  return record.rfind(prefix, 0) == 0 ? ledger::retention_end_of(bytes).value_or(never) : never;
 }
 
 task<> expire_programs_forever(replication::voter voter, runtime::handle runtime, logging::logger logger) {
--- a/tests/program_expiry_test.cc
+++ b/tests/program_expiry_test.cc
@@ -30,8 +30,8 @@
         *site.voters[name], site.world.runtime_of(name), logging::logger(name, [](auto&, auto&) {})));
   std::int64_t wall = site.world.runtime_of("w").wall();
   auto early = make_turn("early", ""), late = make_turn("late", "");
-  early.kept_until = wall + 60 * second;
-  late.kept_until = wall + 400 * second;
+  early.retained_until = wall + 60 * second;
+  late.retained_until = wall + 400 * second;
   REQUIRE(site.run("w", programs.keep_turn(early, site.deadline("w", 2 * second))));
   REQUIRE(site.run("w", programs.keep_turn(late, site.deadline("w", 2 * second))));
   auto reserve = [&](const std::string& program, const std::string& turn) {
--- a/tests/replica_group_fixture.h
+++ b/tests/replica_group_fixture.h
@@ -38,7 +38,7 @@
     options.group = "store";
     options.bucket_count = 2;
     options.limit_bytes = limit_bytes;
-    options.attribute = storage_node::kept_until_attribute;
+    options.attribute = storage_node::retention_end_attribute;
     auto voter = std::make_shared<replication::voter>(endpoint, options);
     voters[name] = voter;
     runtime.spawn([](std::shared_ptr<replication::voter> opened) -> runtime::task<> {
