--- a/src/consensus/proposer.cc
+++ b/src/consensus/proposer.cc
@@ -66,7 +66,7 @@
 proposer::proposer(std::shared_ptr<state> shared) : state_(std::move(shared)) {}
 rpc::endpoint proposer::endpoint() const { return state_->endpoint; }
 const view& proposer::current_view() const { return state_->current; }
-void proposer::learn(const view& seen) { state_->learn(seen); }
+void proposer::learn_view(const view& seen) { state_->learn_view(seen); }
 void proposer::set_seeds(std::function<std::vector<std::string>()> addresses) {
   state_->seeds = std::move(addresses);
 }
@@ -78,7 +78,7 @@
       identity(static_cast<std::int64_t>(endpoint.runtime().random()() >> 1)),
       window(endpoint.runtime()) {}
 
-void proposer::state::learn(const view& seen) {
+void proposer::state::learn_view(const view& seen) {
   if (seen.group == group && seen.number > current.number) current = seen;
 }
 
@@ -119,7 +119,7 @@
   switch (reply.status) {
     case rpc::reply_status::view_mismatch: {
       auto installed = view_from_text(reply.view);
-      learn(installed);
+      learn_view(installed);
       result.view_changed = result.view_changed || current.number > used.number;
       // Any proposer that knows the chosen view sends it to a voter that missed its installation.
       if (installed.number < used.number) send_view(used, voter);
@@ -189,7 +189,7 @@
   rpc::identify_request request{self->group};
   auto result = co_await self->endpoint.call(std::move(address), std::move(request), round_timeout);
   auto* reply = std::get_if<rpc::identify_reply>(&result);
-  if (reply && !reply->view.empty()) self->learn(view_from_text(reply->view));
+  if (reply && !reply->view.empty()) self->learn_view(view_from_text(reply->view));
   answered.push(reply != nullptr);
 }
 
--- a/src/consensus/proposer.h
+++ b/src/consensus/proposer.h
@@ -46,7 +46,7 @@
 
   // Proposes under `seen` from now on. Ignored unless it is of this group and its number is higher than that
   // of the known view.
-  void learn(const view& seen);
+  void learn_view(const view& seen);
   // The newest known view; number 0 and no voters while none is known.
   const view& current_view() const;
   // Sets the source of node addresses (ip:port) that are asked for an installed view when no view is known or
--- a/src/consensus/proposer_state.h
+++ b/src/consensus/proposer_state.h
@@ -69,7 +69,7 @@
   promised_ballot_cache promised;
 
   state(rpc::endpoint from, std::string name);
-  void learn(const view& seen);
+  void learn_view(const view& seen);
   // Sends the request to all voters of `used`. Returns once a quorum replied ok, or after the last reply or
   // the timeout.
   runtime::task<round_result> run_round(rpc::vote_request request, view used, runtime::microseconds deadline);
--- a/src/control_node/engine_list_publisher.cc
+++ b/src/control_node/engine_list_publisher.cc
@@ -41,7 +41,7 @@
     context_->runtime.spawn(send_to(core, version, text));
 }
 
-rpc::engine_list_reply engine_list_publisher::take(const rpc::engine_list_request& request) {
+rpc::engine_list_reply engine_list_publisher::handle(const rpc::engine_list_request& request) {
   auto& configs = context_->configs;
   // An owner that was superseded must not replace a newer list by its old one.
   bool admitted = fence_.admit(fenced_role, request.epoch);
--- a/src/control_node/engine_list_publisher.h
+++ b/src/control_node/engine_list_publisher.h
@@ -19,7 +19,7 @@
   // Handles engine_list_request: accepts the list, or the confirmation of the list that this core has.
   // ballot_outdated: the sender's epoch was superseded; content_missing: this core doesn't have the list that
   // is confirmed.
-  rpc::engine_list_reply take(const rpc::engine_list_request& request);
+  rpc::engine_list_reply handle(const rpc::engine_list_request& request);
 
  private:
   using list_version = config_distribution::engine_list_version;
--- a/src/control_node/group_founder.cc
+++ b/src/control_node/group_founder.cc
@@ -52,10 +52,10 @@
 task<> group_founder::try_bootstrap_core_group(std::vector<voter_info> founders) {
   auto self = shared_from_this();
   auto shared = self->context_;
-  auto result = co_await reconfiguration::begin_group(shared->endpoint, core_group, founders,
-                                                      shared->runtime.now() + bootstrap_timeout);
+  auto result = co_await reconfiguration::bootstrap_group(shared->endpoint, core_group, founders,
+                                                          shared->runtime.now() + bootstrap_timeout);
   if (auto* first = std::get_if<view>(&result)) {
-    shared->catalog.learn(*first);
+    shared->catalog.learn_view(*first);
     shared->logger.info("core group founded", {{"voters", first->voters.size()},
                                                {"needed", loss_budget_from(shared->node_settings).voters()}});
     co_return;
@@ -98,7 +98,7 @@
   auto first = shared->catalog.current_view();
   if (first.number != 1) co_return first.number > 1;
   auto written = co_await shared->catalog.change(reconfiguration::view_register_key(core_group),
-                                                 reconfiguration::first_view_if_none(first),
+                                                 reconfiguration::set_first_view_if_absent(first),
                                                  shared->runtime.now() + second, true);
   co_return written.value.has_value();
 }
@@ -154,7 +154,7 @@
   first.number = 1;
   first.voters = voters;
   auto written = co_await shared->catalog.change(reconfiguration::view_register_key(store_group),
-                                                 reconfiguration::first_view_if_none(first),
+                                                 reconfiguration::set_first_view_if_absent(first),
                                                  shared->runtime.now() + write_timeout, true);
   if (!written.value) co_return std::nullopt;
   shared->logger.info(
@@ -184,7 +184,7 @@
   if (!installed)
     installed = co_await reconfiguration::install_chosen(shared->stores, *agreed_view,
                                                          shared->runtime.now() + second);
-  shared->stores.learn(*agreed_view);
+  shared->stores.learn_view(*agreed_view);
   co_return installed;
 }
 
--- a/src/control_node/node.cc
+++ b/src/control_node/node.cc
@@ -85,7 +85,7 @@
   shared->catalog.set_seeds(live_addresses(rpc::node_role::core));
   shared->stores.set_seeds(live_addresses(rpc::node_role::store));
   voter.on_view([weak](const consensus::view& installed) {
-    if (auto node_context = weak.lock()) node_context->catalog.learn(installed);
+    if (auto node_context = weak.lock()) node_context->catalog.learn_view(installed);
   });
 }
 
@@ -110,7 +110,7 @@
       });
   endpoint.serve<rpc::engine_list_request>(
       [publisher = publisher](rpc::engine_list_request request) -> task<rpc::engine_list_reply> {
-        co_return publisher->take(request);
+        co_return publisher->handle(request);
       });
   shared->trace.serve(endpoint, rpc::node_role::core);
 }
@@ -166,7 +166,7 @@
   if (fault == replication::open_error::failed)
     co_return "can't read or write the data folder: " + node_settings.data;
   auto& installed = self->voter.current_view();
-  if (installed.number > 0) self->shared->catalog.learn(installed);
+  if (installed.number > 0) self->shared->catalog.learn_view(installed);
   self->serve_requests();
   self->shared->members.start();
   // Listen only now: from here on every kind of message has its handler.
--- a/src/control_node/operator_api.cc
+++ b/src/control_node/operator_api.cc
@@ -274,20 +274,20 @@
     reject(out, 503, "no member is known at " + voter.address, executed::no, 1);
     co_return false;
   }
-  auto founded = co_await reconfiguration::begin_group(shared->endpoint, group, voters,
-                                                       shared->runtime.now() + founding_timeout);
+  auto founded = co_await reconfiguration::bootstrap_group(shared->endpoint, group, voters,
+                                                           shared->runtime.now() + founding_timeout);
   if (auto* error = std::get_if<reconfiguration::move_error>(&founded)) {
     using reconfiguration::move_error;
-    bool already_founded = *error == move_error::already_there || *error == move_error::not_empty;
+    bool already_founded = *error == move_error::already_member || *error == move_error::not_empty;
     reject(out, already_founded ? 409 : 503,
            already_founded ? group + " has begun already" : "a voter can't be reached", executed::no,
            already_founded ? 0 : 1);
     co_return false;
   }
   auto first_view = std::get<consensus::view>(founded);
-  (group == core_group ? shared->catalog : shared->stores).learn(first_view);
+  (group == core_group ? shared->catalog : shared->stores).learn_view(first_view);
   auto written = co_await shared->catalog.change(reconfiguration::view_register_key(group),
-                                                 reconfiguration::first_view_if_none(first_view),
+                                                 reconfiguration::set_first_view_if_absent(first_view),
                                                  shared->runtime.now() + founding_timeout, true);
   if (!written.value)
     reject(out, 503, "the first view could not be settled; ask again", executed::unknown, 1);
--- a/src/control_node/voter_group_manager.cc
+++ b/src/control_node/voter_group_manager.cc
@@ -227,7 +227,7 @@
   auto agreed_view = co_await reconfiguration::agreed_view(shared->catalog, self->name_,
                                                            shared->runtime.now() + agreement_timeout);
   if (!agreed_view || agreed_view->number == 0) co_return;
-  if (self->group_.current_view().number == 0) self->group_.learn(*agreed_view);
+  if (self->group_.current_view().number == 0) self->group_.learn_view(*agreed_view);
   // Before any move, so that a group that was bootstrapped too small is reported at once.
   self->shortfall_.update(agreed_view->voters);
   auto target = co_await self->plan(*agreed_view);
--- a/src/control_node/voter_plan.cc
+++ b/src/control_node/voter_plan.cc
@@ -103,12 +103,12 @@
 
 voter_shortfall shortfall_of(const std::vector<voter_info>& voters, const loss_budget& budget) {
   voter_shortfall shortfall;
-  if (voters.size() < budget.voters()) shortfall.voters = budget.voters() - voters.size();
+  if (voters.size() < budget.voters()) shortfall.missing_voters = budget.voters() - voters.size();
   std::map<std::string, std::size_t> count_by_zone;
   for (auto& voter : voters) ++count_by_zone[voter.zone];
   auto zone_limit = max_voters_per_zone(voters.size(), budget);
   for (auto& [zone, count] : count_by_zone)
-    if (count > zone_limit) shortfall.crowded += count - zone_limit;
+    if (count > zone_limit) shortfall.over_zone_limit += count - zone_limit;
   return shortfall;
 }
 
--- a/src/control_node/voter_plan.h
+++ b/src/control_node/voter_plan.h
@@ -49,8 +49,8 @@
 
 // How far a group falls short of its budget.
 struct voter_shortfall {
-  std::size_t voters = 0;   // that are missing
-  std::size_t crowded = 0;  // voters beyond max_voters_per_zone(), summed over the zones
+  std::size_t missing_voters = 0;   // voters that the group lacks
+  std::size_t over_zone_limit = 0;  // voters beyond max_voters_per_zone(), summed over the zones
   bool operator==(const voter_shortfall&) const = default;
 };
 voter_shortfall shortfall_of(const std::vector<consensus::voter_info>& voters, const loss_budget& budget);
--- a/src/reconfiguration/group_move.cc
+++ b/src/reconfiguration/group_move.cc
@@ -17,7 +17,7 @@
       return "not empty";
     case move_error::not_a_voter:
       return "not a voter";
-    case move_error::already_there:
+    case move_error::already_member:
       return "already there";
     case move_error::lost_race:
       return "lost race";
@@ -33,7 +33,7 @@
   co_return consensus::view_from_text(*result.value);
 }
 
-consensus::mutator first_view_if_none(view first) {
+consensus::mutator set_first_view_if_absent(view first) {
   return [first](const std::optional<std::string>& current) -> std::optional<std::string> {
     if (current) return std::nullopt;
     return to_text(first);
@@ -129,7 +129,7 @@
     bool finished = co_await finish_move(group, catalog, deadline);
     co_return finished ? move_error::lost_race : move_error::unreachable;
   }
-  if (current->includes(wanted.arriving.id)) co_return move_error::already_there;
+  if (current->includes(wanted.arriving.id)) co_return move_error::already_member;
   if (!current->includes(wanted.leaving)) co_return move_error::not_a_voter;
   auto voters = current->voters;
   for (auto& voter : voters)
--- a/src/reconfiguration/group_move.h
+++ b/src/reconfiguration/group_move.h
@@ -21,12 +21,12 @@
 
 // Why a move was not made.
 enum class move_error {
-  unreachable,    // the agreed view can't be read, a voter can't be reached, or the deadline has passed
-  not_empty,      // a joining voter holds records or a view
-  not_a_voter,    // the voter to be replaced isn't in the view
-  already_there,  // the joining voter is in the view, or the group already has another first view
-  lost_race,      // another view was chosen meanwhile
-  superseded,     // the agreed view was chosen under a higher epoch
+  unreachable,     // the agreed view can't be read, a voter can't be reached, or the deadline has passed
+  not_empty,       // a joining voter holds records or a view
+  not_a_voter,     // the voter to be replaced isn't in the view
+  already_member,  // the joining voter is in the view, or the group already has another first view
+  lost_race,       // another view was chosen meanwhile
+  superseded,      // the agreed view was chosen under a higher epoch
 };
 using move_result = std::variant<view, move_error>;
 // The name of the error, for logs.
@@ -63,6 +63,6 @@
 inline std::string view_register_key(const std::string& group) { return "view/" + group; }
 
 // A mutator that writes the first view if the register is empty, and leaves it unchanged otherwise.
-consensus::mutator first_view_if_none(view first);
+consensus::mutator set_first_view_if_absent(view first);
 
 }  // namespace herontally::reconfiguration
--- a/src/reconfiguration/view_install.cc
+++ b/src/reconfiguration/view_install.cc
@@ -46,7 +46,7 @@
   for (auto& reply : replies) {
     // Installing a first view at a voter that has another view would split the group.
     bool other_view = !reply.view.empty() && consensus::view_from_text(reply.view) != first;
-    if (other_view) return move_error::already_there;
+    if (other_view) return move_error::already_member;
     if (!reply.empty && reply.view.empty()) return move_error::not_empty;
   }
   return std::nullopt;
@@ -83,7 +83,7 @@
       if (result->installed) installed.insert(result->voter);
     }
     if (chosen.quorum(has)) {
-      group.learn(chosen);
+      group.learn_view(chosen);
       runtime::mailbox<install_result> ignored(runtime);
       for (auto& voter : leaving) runtime.spawn(report_install(endpoint, voter, chosen, ignored));
       co_return true;
@@ -98,8 +98,8 @@
   co_return co_await install_at_quorum(group, std::move(chosen), none_leaving, deadline);
 }
 
-task<move_result> begin_group(rpc::endpoint endpoint, std::string group, std::vector<voter_info> voters,
-                              microseconds deadline) {
+task<move_result> bootstrap_group(rpc::endpoint endpoint, std::string group, std::vector<voter_info> voters,
+                                  microseconds deadline) {
   view first;
   first.group = group;
   first.number = 1;
--- a/src/reconfiguration/view_install.h
+++ b/src/reconfiguration/view_install.h
@@ -22,9 +22,9 @@
 runtime::task<bool> install_chosen(proposer group, view chosen, runtime::microseconds deadline);
 
 // Creates a group: asks the voters for their identities and installs a first view that names them at all of
-// them. After a failure the call may be repeated. Fails with already_there if a voter has another view,
+// them. After a failure the call may be repeated. Fails with already_member if a voter has another view,
 // not_empty if one has records and no view, unreachable if one doesn't reply or the deadline has passed.
-runtime::task<move_result> begin_group(rpc::endpoint endpoint, std::string group,
-                                       std::vector<voter_info> voters, runtime::microseconds deadline);
+runtime::task<move_result> bootstrap_group(rpc::endpoint endpoint, std::string group,
+                                           std::vector<voter_info> voters, runtime::microseconds deadline);
 
 }  // namespace herontally::reconfiguration
--- a/src/replica_storage/cell.h
+++ b/src/replica_storage/cell.h
@@ -54,12 +54,12 @@
 inline bool is_register(const std::string& record) { return record[0] == register_prefix[0]; }
 inline bool is_content(const std::string& record) { return record[0] == content_prefix[0]; }
 // Whether the record describes the voter itself; such records are never sent to another voter.
-inline bool is_own_record(const std::string& record) { return record[0] == '@'; }
+inline bool is_local_record(const std::string& record) { return record[0] == '@'; }
 
 // The ballots of a listed record; empty for contents, which have none. The values of registers are always in
 // memory, so that this doesn't read the disk.
 cell_ballots ballots_of(const storage::listed_record& record);
 // The smallest key that sorts after this one.
-inline std::string just_after(const std::string& key) { return key + '\0'; }
+inline std::string next_key(const std::string& key) { return key + '\0'; }
 
 }  // namespace herontally::replica_storage
--- a/src/replica_storage/record_store.cc
+++ b/src/replica_storage/record_store.cc
@@ -15,7 +15,7 @@
 // a register when both accepted the same ballot. Registers with only a promise and a voter's own records
 // count as 0.
 std::uint64_t fingerprint_of(const std::string& record, std::string_view value) {
-  if (is_own_record(record)) return 0;
+  if (is_local_record(record)) return 0;
   std::uint64_t hash = hashing::placement_basis;
   auto mix = [&hash](std::uint64_t part) { hash = hashing::fnv1a_step(hash, part) ^ (hash >> 29); };
   for (unsigned char byte : record) mix(byte);
@@ -53,7 +53,7 @@
   std::string last;
   int listed = 0;
   bool more = false;
-  store.list_from(after.empty() ? prefix : just_after(after), [&](const storage::listed_record& record) {
+  store.list_from(after.empty() ? prefix : next_key(after), [&](const storage::listed_record& record) {
     if (!record.key.starts_with(prefix)) return false;
     more = listed == limit;
     if (more) return false;
@@ -209,13 +209,13 @@
   bool empty = true;
   for (auto& each : state_->buckets)
     each->store.list_from("", [&empty](const storage::listed_record& record) {
-      empty = empty && is_own_record(record.key);
+      empty = empty && is_local_record(record.key);
       return empty;
     });
   return empty;
 }
 
-task<bool> record_store::put_everywhere(std::string record, std::string value) {
+task<bool> record_store::put_in_all_buckets(std::string record, std::string value) {
   auto self = state_;
   std::vector<runtime::slot<bool>> waits;
   for (auto& each : self->buckets) {
--- a/src/replica_storage/record_store.h
+++ b/src/replica_storage/record_store.h
@@ -89,7 +89,7 @@
   std::optional<std::string> read(const std::string& record) const;
   // Whether the record exists, without reading the disk.
   bool contains(const std::string& record) const;
-  // Whether there are no records other than those of the voter itself (`is_own_record`).
+  // Whether there are no records other than those of the voter itself (`is_local_record`).
   bool empty() const;
 
   // The bucket that holds the record or, if none does, the one that it would go into now.
@@ -101,7 +101,7 @@
   const std::vector<std::unique_ptr<bucket>>& buckets() const;
 
   // Writes the record to every bucket, for the voter's own records; true if it became durable in all of them.
-  runtime::task<bool> put_everywhere(std::string record, std::string value);
+  runtime::task<bool> put_in_all_buckets(std::string record, std::string value);
   // Removes the records; true if all removals became durable.
   runtime::task<bool> remove(std::vector<std::string> records);
   // Removes the register records for which `may_remove` returns true when the owner runs the command, and
--- a/src/replication/acceptor.cc
+++ b/src/replication/acceptor.cc
@@ -217,7 +217,7 @@
   auto limit = static_cast<std::size_t>(std::clamp<std::int64_t>(request.limit, 1, max_listed_records));
   auto take = [&](const storage::listed_record& record) {
     bool in_range = request.range < 0 || static_cast<std::int64_t>(record.range) == request.range;
-    if (replica_storage::is_own_record(record.key) || !in_range) return true;
+    if (replica_storage::is_local_record(record.key) || !in_range) return true;
     bool beyond_page = merged.size() == limit && record.key > merged.rbegin()->first;
     if (!beyond_page) merged[record.key] = replica_storage::ballots_of(record);
     bool overfull = merged.size() > limit;
@@ -227,7 +227,7 @@
     return !beyond_page;
   };
   for (auto& bucket : self.records.buckets())
-    bucket->store.list_from(replica_storage::just_after(request.after), take);
+    bucket->store.list_from(replica_storage::next_key(request.after), take);
   for (auto& [record, ballots] : merged) {
     reply.keys.push_back(record);
     reply.ballots.push_back(ballots.accepted);
--- a/src/replication/repair.cc
+++ b/src/replication/repair.cc
@@ -90,7 +90,7 @@
   auto compare = [&](const storage::listed_record& record) {
     if (!page.last.empty() && record.key > page.last) return false;
     bool in_range = range == all_ranges || static_cast<record_range>(record.range) == range;
-    if (replica_storage::is_own_record(record.key) || !in_range) return true;
+    if (replica_storage::is_local_record(record.key) || !in_range) return true;
     auto accepted = replica_storage::ballots_of(record).accepted;
     // A register with a promise and no accepted value has nothing to send.
     if (!replica_storage::is_content(record.key) && accepted.counter == 0) return true;
@@ -99,7 +99,7 @@
     return true;
   };
   for (auto& bucket : self.records.buckets())
-    bucket->store.list_from(replica_storage::just_after(page.after), compare);
+    bucket->store.list_from(replica_storage::next_key(page.after), compare);
   return missing;
 }
 
--- a/src/replication/view_installer.cc
+++ b/src/replication/view_installer.cc
@@ -30,7 +30,7 @@
   auto self = replica_;
   installing_ = chosen;
   // The owner task of each bucket writes the view, so that it doesn't split a batch of commands.
-  bool durable = co_await self->records.put_everywhere(replica_storage::view_record, to_text(chosen));
+  bool durable = co_await self->records.put_in_all_buckets(replica_storage::view_record, to_text(chosen));
   if (installing_ == chosen) installing_.reset();
   if (durable && chosen.number > self->current_view.number) self->set_view(chosen);
   auto waiting = std::exchange(waiters_, {});
--- a/src/simulator/control_oracle.cc
+++ b/src/simulator/control_oracle.cc
@@ -87,11 +87,11 @@
   auto lacking = ht::control_node::shortfall_of(agreed.voters, budget);
   // With every machine well the group is as large as it will ever be.
   bool complete = all_well(machines);
-  if (lacking.voters > 0 && (well >= budget.voters() || complete))
+  if (lacking.missing_voters > 0 && (well >= budget.voters() || complete))
     return number + " has " + std::to_string(agreed.voters.size()) + " voters of " +
            std::to_string(budget.voters());
-  if (lacking.crowded > 0 && complete)
-    return number + " has " + std::to_string(lacking.crowded) + " voters too many in a zone";
+  if (lacking.over_zone_limit > 0 && complete)
+    return number + " has " + std::to_string(lacking.over_zone_limit) + " voters too many in a zone";
   return "";
 }
 
@@ -151,7 +151,7 @@
 
 void control_oracle::state::judge_owner(const machine_seen& core, const ht::singleton::role_status& role) {
   auto key = core.name + "/" + std::to_string(core.life) + "/" + role.role + "/" + std::to_string(role.epoch);
-  if (role.owned && role.refused)
+  if (role.owned && role.epoch_refused)
     site.report("ROLE", core.name + " goes on in the role " + role.role + " under epoch " +
                             std::to_string(role.epoch) + ", which was refused");
   auto& newest = newest_epoch[role.role];
--- a/src/singleton/singleton_role.h
+++ b/src/singleton/singleton_role.h
@@ -24,8 +24,8 @@
 struct role_status {
   std::string role;
   bool owned = false;
-  std::int64_t epoch = 0;  // under which this node owns the role, or owned it last; 0: never
-  bool refused = false;    // a receiver has refused this epoch
+  std::int64_t epoch = 0;      // under which this node owns the role, or owned it last; 0: never
+  bool epoch_refused = false;  // a receiver has refused this epoch
 };
 
 // Copies share one state.
--- a/src/storage_node/node.cc
+++ b/src/storage_node/node.cc
@@ -59,12 +59,12 @@
   auto self = state_;
   std::weak_ptr<state> weak = self;
   self->voter.on_view([weak](const consensus::view& installed) {
-    if (auto locked = weak.lock()) locked->group.learn(installed);
+    if (auto locked = weak.lock()) locked->group.learn_view(installed);
   });
   auto opened = co_await self->voter.open();
   if (opened == replication::open_error::failed)
     co_return std::string("data can't be read or written: ") + self->config.data;
-  if (self->voter.current_view().number > 0) self->group.learn(self->voter.current_view());
+  if (self->voter.current_view().number > 0) self->group.learn_view(self->voter.current_view());
   self->members.start();
   // Listens only from here on, when messages of every kind can be answered.
   if (!self->endpoint.listen(self->config.inner))
--- a/tests/model/run.cc
+++ b/tests/model/run.cc
@@ -75,11 +75,11 @@
   static runtime::task<> begin_group(consensus::proposer founder, std::vector<consensus::voter_info> voters,
                                      std::shared_ptr<std::optional<bool>> done) {
     auto deadline = founder.endpoint().runtime().now() + begin_timeout;
-    auto begun = co_await reconfiguration::begin_group(founder.endpoint(), group_name, voters, deadline);
+    auto begun = co_await reconfiguration::bootstrap_group(founder.endpoint(), group_name, voters, deadline);
     auto* first = std::get_if<consensus::view>(&begun);
     *done = first != nullptr;
     if (!first) co_return;
-    founder.learn(*first);
+    founder.learn_view(*first);
     std::string text = consensus::to_text(*first);
     // Over nothing only, as the product's founders do: a round that is repeated must not bring it back.
     consensus::mutator lay = [text](const std::optional<std::string>& current) {
--- a/tests/program_ledger_faults_test.cc
+++ b/tests/program_ledger_faults_test.cc
@@ -100,7 +100,7 @@
     history->budget = 300;
     for (auto* node : {"wa", "wb"}) {
       auto writer = site.writer(node);
-      writer.learn(first.current_view());
+      writer.learn_view(first.current_view());
       ledger::program_ledger programs(writer);
       for (int task = 0; task < 4; ++task)
         site.world.runtime_of(node).spawn(
@@ -142,7 +142,7 @@
   for (auto& [id, previous] : std::vector<std::pair<std::string, std::string>>{{"a", ""}, {"b", "a"}})
     REQUIRE(site.run("w", programs.keep_turn(make_turn(id, previous), site.deadline("w", 2 * second))));
   auto other = site.writer("v");
-  other.learn(writer.current_view());
+  other.learn_view(writer.current_view());
   auto read = [&](const std::string& last) {
     return site.run("v", ledger::program_ledger(other).read_chain(last, site.deadline("v", second)));
   };
@@ -175,7 +175,7 @@
     auto stored = std::make_shared<std::vector<std::string>>();
     auto running = std::make_shared<bool>(true);
     auto other = site.writer("v");
-    other.learn(writer.current_view());
+    other.learn_view(writer.current_view());
     auto store_turns = [](ledger::program_ledger programs, runtime::handle runtime, std::string name,
                           std::shared_ptr<std::vector<std::string>> stored,
                           std::shared_ptr<bool> running) -> runtime::task<> {
@@ -213,7 +213,7 @@
     }
     site.world.kill(lost == "s1" ? "s2" : "s1", simulator::disk_loss::all, true);
     auto reader = site.writer("r");
-    reader.learn(writer.current_view());
+    reader.learn_view(writer.current_view());
     ledger::program_ledger uncached(reader);
     for (auto& id : *stored) {
       INFO("turn " << id);
--- a/tests/program_ledger_test.cc
+++ b/tests/program_ledger_test.cc
@@ -110,7 +110,7 @@
   REQUIRE(reserve(site, "w", programs, "a", 10, 10) == program_reservation::granted);
   REQUIRE(store_turn(site, "w", programs, "a", ""));
   auto other = site.writer("v");
-  other.learn(writer.current_view());
+  other.learn_view(writer.current_view());
   ledger::program_ledger uncached(other);
   site.world.kill("s1", simulator::disk_loss::none);
   site.world.kill("s2", simulator::disk_loss::none);
--- a/tests/replica_group_fixture.h
+++ b/tests/replica_group_fixture.h
@@ -84,10 +84,11 @@
   // Installs the first view, with voters s1 to s3, and returns a proposer on machine "w" that knows it.
   consensus::proposer begin() {
     auto first = writer("w");
-    auto begun = run("w", reconfiguration::begin_group(first.endpoint(), "store", places({"s1", "s2", "s3"}),
-                                                       deadline("w", 5 * second)));
+    auto begun =
+        run("w", reconfiguration::bootstrap_group(first.endpoint(), "store", places({"s1", "s2", "s3"}),
+                                                  deadline("w", 5 * second)));
     REQUIRE(std::holds_alternative<consensus::view>(begun));
-    first.learn(std::get<consensus::view>(begun));
+    first.learn_view(std::get<consensus::view>(begun));
     return first;
   }
 };
--- a/tests/voter_plan_test.cc
+++ b/tests/voter_plan_test.cc
@@ -81,7 +81,7 @@
   CHECK(nodes_in(same_zone) == std::set<std::string>{"a1", "b1", "c2"});
   auto crowded = plan_voters(agreed_view, observed, {voter_at("a2", "a")}, one_loss);
   CHECK(nodes_in(crowded) == std::set<std::string>{"a1", "a2", "b1"});
-  CHECK(shortfall_of(crowded, one_loss).crowded == 1);
+  CHECK(shortfall_of(crowded, one_loss).over_zone_limit == 1);
   // A machine of the lost voter's zone is there again: it replaces one of the two voters in the same zone.
   auto crowded_view = group_of(crowded);
   auto spread = plan_voters(crowded_view, all_present(crowded_view), {voter_at("c3", "c")}, one_loss);
