--- a/src/agent/context.h
+++ b/src/agent/context.h
@@ -33,7 +33,7 @@
         logger(given_logger),
         platform_adapter(std::move(adapter)),
         endpoint(handle, node_settings.name, given_logger),
-        members(endpoint, membership::own_entry(node_settings, rpc::node_role::agent), node_settings.seeds),
+        members(endpoint, membership::self_entry(node_settings, rpc::node_role::agent), node_settings.seeds),
         configs(handle),
         freshness(handle, node_settings.name),
         trace(handle) {
--- a/src/configuration/record.cc
+++ b/src/configuration/record.cc
@@ -101,12 +101,12 @@
   return distributed;
 }
 
-std::set<std::string> shared_names(const json& document, const char* list) {
+std::set<std::string> shared_list(const json& document, const char* list) {
   if (!document.contains("shared")) return {};
   return document["shared"].value(list, std::set<std::string>());
 }
 
-void set_shared_names(json& document, const char* list, const std::set<std::string>& names) {
+void set_shared_list(json& document, const char* list, const std::set<std::string>& names) {
   document["shared"][list] = names;
 }
 
--- a/src/configuration/record.h
+++ b/src/configuration/record.h
@@ -82,9 +82,9 @@
 
 // The names in a list of the document's shared section; `list` is `evacuated_zones` or `retiring_storage`.
 // Empty if there is no such list.
-std::set<std::string> shared_names(const json& document, const char* list);
+std::set<std::string> shared_list(const json& document, const char* list);
 // Replaces the names in a list of the document's shared section.
-void set_shared_names(json& document, const char* list, const std::set<std::string>& names);
+void set_shared_list(json& document, const char* list, const std::set<std::string>& names);
 constexpr const char* evacuated_zones = "evacuated_zones";
 constexpr const char* retiring_storage = "retiring_storage";
 
--- a/src/configuration/snapshot.cc
+++ b/src/configuration/snapshot.cc
@@ -106,13 +106,13 @@
   out.edges = content.edges;
   out.previous_edges = content.previous_edges;
   json shared = content.document.value("shared", json::object());
-  out.evacuated_zones = shared_names(content.document, evacuated_zones);
-  out.retiring_storage = shared_names(content.document, retiring_storage);
+  out.evacuated_zones = shared_list(content.document, evacuated_zones);
+  out.retiring_storage = shared_list(content.document, retiring_storage);
   json limits = shared.value("limits", json::object());
-  out.limit.queue_seconds = limits.value("queue_seconds", out.limit.queue_seconds);
-  out.limit.client_buffer_kilobytes =
-      limits.value("client_buffer_kilobytes", out.limit.client_buffer_kilobytes);
-  out.limit.requests_per_client = limits.value("requests_per_client", out.limit.requests_per_client);
+  out.limits.queue_seconds = limits.value("queue_seconds", out.limits.queue_seconds);
+  out.limits.client_buffer_kilobytes =
+      limits.value("client_buffer_kilobytes", out.limits.client_buffer_kilobytes);
+  out.limits.requests_per_client = limits.value("requests_per_client", out.limits.requests_per_client);
   // Bound to a reference: a temporary returned by value() would be destroyed before the loop ends.
   static const json no_partners = json::object();
   const json& partners = content.document.contains("partners") ? content.document["partners"] : no_partners;
--- a/src/configuration/snapshot.h
+++ b/src/configuration/snapshot.h
@@ -63,7 +63,7 @@
   std::int64_t revision = 0, version = 0;
   std::vector<std::string> edges, previous_edges;  // names of the edges' agents, in the record's order
   std::set<std::string> evacuated_zones, retiring_storage;
-  limits limit;
+  configuration::limits limits;
   std::map<std::string, partner> partners;
   std::optional<routing::table> routing;  // nullopt: no operator has sent one
 };
--- a/src/control_node/context.h
+++ b/src/control_node/context.h
@@ -44,7 +44,7 @@
         logger(node_logger),
         platform_adapter(std::move(adapter)),
         endpoint(handle, node_settings.name, node_logger),
-        members(endpoint, membership::own_entry(node_settings, rpc::node_role::core), node_settings.seeds),
+        members(endpoint, membership::self_entry(node_settings, rpc::node_role::core), node_settings.seeds),
         catalog(endpoint, core_group),
         stores(endpoint, store_group),
         configs(handle),
--- a/src/control_node/operator_api.cc
+++ b/src/control_node/operator_api.cc
@@ -199,12 +199,12 @@
   edit requested_edit = [self, zone, begin, partner = *partner](const configuration::record& current,
                                                                 const std::string& change_id) {
     json document = current.document;
-    auto zones = configuration::shared_names(document, configuration::evacuated_zones);
+    auto zones = configuration::shared_list(document, configuration::evacuated_zones);
     if (begin)
       zones.insert(zone);
     else
       zones.erase(zone);
-    configuration::set_shared_names(document, configuration::evacuated_zones, zones);
+    configuration::set_shared_list(document, configuration::evacuated_zones, zones);
     return validate_change(current, std::move(document), partner, change_id,
                            deployment_state_of(*self->context_));
   };
@@ -216,14 +216,14 @@
   edit requested_edit = [self, node, partner](const configuration::record& current,
                                               const std::string& change_id) {
     json document = current.document;
-    auto nodes = configuration::shared_names(document, configuration::retiring_storage);
+    auto nodes = configuration::shared_list(document, configuration::retiring_storage);
     if (!nodes.insert(node).second) {
       edit_result refusal;
       refusal.refusal = change_outcome::conflict;
       refusal.reason = node + " is retiring already";
       return refusal;
     }
-    configuration::set_shared_names(document, configuration::retiring_storage, nodes);
+    configuration::set_shared_list(document, configuration::retiring_storage, nodes);
     return validate_change(current, std::move(document), partner, change_id,
                            deployment_state_of(*self->context_));
   };
@@ -253,7 +253,7 @@
   bool holds_copies = false, moving = agreed->joint();
   for (auto& voter : agreed->all_voters()) holds_copies = holds_copies || voter.node == node;
   bool retiring =
-      configuration::shared_names(config->document, configuration::retiring_storage).contains(node);
+      configuration::shared_list(config->document, configuration::retiring_storage).contains(node);
   // Once the agreed view lacks the node and isn't joint, all copies of every key are on other voters.
   bool removable = retiring && !holds_copies && !moving;
   json body{{"node", node},     {"retiring", retiring},   {"holds_copies", holds_copies},
--- a/src/control_node/operator_rules.cc
+++ b/src/control_node/operator_rules.cc
@@ -4,7 +4,7 @@
 
 namespace herontally::control_node {
 
-using configuration::shared_names;
+using configuration::shared_list;
 using configuration::violation;
 
 namespace {
@@ -76,10 +76,10 @@
 std::vector<violation> operational_violations(const json& before, const json& after,
                                               const deployment_state& deployment) {
   std::vector<violation> violations;
-  check_evacuations(shared_names(before, configuration::evacuated_zones),
-                    shared_names(after, configuration::evacuated_zones), deployment, violations);
-  check_retirements(shared_names(before, configuration::retiring_storage),
-                    shared_names(after, configuration::retiring_storage), deployment, violations);
+  check_evacuations(shared_list(before, configuration::evacuated_zones),
+                    shared_list(after, configuration::evacuated_zones), deployment, violations);
+  check_retirements(shared_list(before, configuration::retiring_storage),
+                    shared_list(after, configuration::retiring_storage), deployment, violations);
   return violations;
 }
 
--- a/src/control_node/platform_operator_api.cc
+++ b/src/control_node/platform_operator_api.cc
@@ -161,11 +161,11 @@
       reply.status = command_status::unreachable;
       return std::nullopt;
     }
-    auto zones = configuration::shared_names(current.document, configuration::evacuated_zones);
+    auto zones = configuration::shared_list(current.document, configuration::evacuated_zones);
     *changed = command.begin ? zones.insert(command.zone).second : zones.erase(command.zone) > 0;
     if (!*changed) return std::nullopt;
     json document = current.document;
-    configuration::set_shared_names(document, configuration::evacuated_zones, zones);
+    configuration::set_shared_list(document, configuration::evacuated_zones, zones);
     return configuration::next_revision(current, document, change_id);
   };
   auto reply = co_await self->change_record(apply_edit);
@@ -197,7 +197,7 @@
       reply.status = command_status::unreachable;
       return std::nullopt;
     }
-    auto retiring = configuration::shared_names(current.document, configuration::retiring_storage);
+    auto retiring = configuration::shared_list(current.document, configuration::retiring_storage);
     // A repeated command for a retirement that has begun: nothing to do, and a success.
     if (retiring.contains(command.node)) return std::nullopt;
     if (!storage.known.contains(command.node)) {
@@ -212,7 +212,7 @@
       return std::nullopt;
     }
     json document = current.document;
-    configuration::set_shared_names(document, configuration::retiring_storage, retiring);
+    configuration::set_shared_list(document, configuration::retiring_storage, retiring);
     return configuration::next_revision(current, document, change_id);
   };
   co_return co_await self->change_record(apply_edit);
@@ -231,7 +231,7 @@
   if (!agreed) co_return reply;
   auto content = configuration::record_or_empty(read.value);
   bool retiring =
-      configuration::shared_names(content.document, configuration::retiring_storage).contains(command.node);
+      configuration::shared_list(content.document, configuration::retiring_storage).contains(command.node);
   bool holds_copies = false;
   for (auto& voter : agreed->all_voters()) holds_copies = holds_copies || voter.node == command.node;
   auto member = shared->members.find(command.node);
--- a/src/control_node/voter_group_manager.cc
+++ b/src/control_node/voter_group_manager.cc
@@ -78,7 +78,7 @@
 std::set<std::string> voter_group_manager::retiring_nodes() const {
   auto config = context_->current_config();
   if (!config || role_ != rpc::node_role::store) return {};
-  return configuration::shared_names(config->document, configuration::retiring_storage);
+  return configuration::shared_list(config->document, configuration::retiring_storage);
 }
 
 task<std::vector<voter_observation>> voter_group_manager::observe_voters(view agreed_view) {
--- a/src/membership/member_list.cc
+++ b/src/membership/member_list.cc
@@ -332,7 +332,7 @@
   }
 }
 
-member own_entry(const settings::settings& node_settings, rpc::node_role role) {
+member self_entry(const settings::settings& node_settings, rpc::node_role role) {
   member entry;
   entry.name = node_settings.name;
   entry.role = role;
--- a/src/membership/member_list.h
+++ b/src/membership/member_list.h
@@ -61,6 +61,6 @@
 // Parses a JSON array of members; empty if the text can't be read.
 std::vector<rpc::member> members_from_text(const std::string& text);
 // The entry of this process, as its settings describe it; the incarnation stays 0.
-rpc::member own_entry(const settings::settings& node_settings, rpc::node_role role);
+rpc::member self_entry(const settings::settings& node_settings, rpc::node_role role);
 
 }  // namespace herontally::membership
--- a/src/proxy/context.cc
+++ b/src/proxy/context.cc
@@ -82,7 +82,7 @@
 std::optional<in_flight_guard> context::admit(const std::string& peer, const http_api::writer& out) {
   std::string client = peer.substr(0, peer.rfind(':'));
   bool node_limit = requests_in_flight >= node_settings.requests;
-  if (node_limit || requests_by_client[client] >= config->limit.requests_per_client) {
+  if (node_limit || requests_by_client[client] >= config->limits.requests_per_client) {
     count_rejection(node_limit ? "request limit" : "client limit");
     http_api::reject(out, 429, node_limit ? "too many requests" : "too many requests of this client",
                      executed::no, retry_after(1));
--- a/src/proxy/turn_attempt.cc
+++ b/src/proxy/turn_attempt.cc
@@ -67,7 +67,7 @@
   progress.text += chunk.text;
   shared.logger.count("herontally_tokens_streamed_total", static_cast<double>(chunk.tokens.size()));
   send_piece(turn_, progress, chunk);
-  auto max_backlog = static_cast<std::size_t>(shared.config->limit.client_buffer_kilobytes) * 1024;
+  auto max_backlog = static_cast<std::size_t>(shared.config->limits.client_buffer_kilobytes) * 1024;
   if (turn_.out->backlog() <= max_backlog) return std::nullopt;
   shared.logger.count("herontally_slow_clients_cut_total");
   return attempt_outcome::too_slow;
--- a/src/proxy/turn_handler.cc
+++ b/src/proxy/turn_handler.cc
@@ -111,7 +111,7 @@
     return false;
   }
   auto wait = expected_wait_seconds(turn, model);
-  bool too_long = static_cast<double>(wait) > shared.config->limit.queue_seconds;
+  bool too_long = static_cast<double>(wait) > shared.config->limits.queue_seconds;
   if (shared.capacity.size() < shared.node_settings.queue && !too_long) return true;
   shared.count_rejection("overload");
   reject(turn.out, 429, "all engines of the model are busy", executed::no,
@@ -308,7 +308,7 @@
 
 task<bool> turn_handler::wait_for_capacity(reserved_pointer turn) {
   auto until =
-      std::min(turn->deadline, turn->started_at + to_microseconds(context_->config->limit.queue_seconds));
+      std::min(turn->deadline, turn->started_at + to_microseconds(context_->config->limits.queue_seconds));
   turn->failure_reason =
       until < context_->queue_deadline ? "no engine came free in time" : "this proxy is ending";
   return context_->capacity.wait(std::min(until, context_->queue_deadline));
--- a/src/router/attempt.cc
+++ b/src/router/attempt.cc
@@ -238,9 +238,9 @@
 // turn is stored, or need not be. False: the caller must cut the stream.
 task<bool> request_router::state::store_turn(client_exchange_pointer exchange, std::string output) {
   auto self = shared_from_this();
-  if (!exchange->route.kept) co_return true;
+  if (!exchange->route.stores_turns) co_return true;
   auto record = make_turn_record(
-      *exchange, self->runtime.wall() + exchange->route.keep * millisecond + retention_margin);
+      *exchange, self->runtime.wall() + exchange->route.retention * millisecond + retention_margin);
   record.output = std::move(output);
   bool durable = co_await self->programs.keep_turn(std::move(record), exchange->deadline + store_grace);
   if (!durable) self->logger.count("herontally_turns_not_kept_total");
@@ -251,7 +251,7 @@
                                                             std::shared_ptr<runtime::http_stream> stream,
                                                             headers answer_headers) {
   auto self = shared_from_this();
-  event_scanner scanner(exchange->route.kept);
+  event_scanner scanner(exchange->route.stores_turns);
   auto send_head = [&exchange, &answer_headers] {
     if (!exchange->head_sent) exchange->out->start(200, answer_headers);
     exchange->head_sent = true;
--- a/src/router/engine_pool.cc
+++ b/src/router/engine_pool.cc
@@ -45,10 +45,10 @@
 // node stays within its share over a sliding window of one second.
 bool engine_pool::within_slow_start_share(engine_entry& entry, const routing::service& service,
                                           const node_group& group, microseconds wall, microseconds now) {
-  if (service.cold_rate <= 0 || now >= entry.slow_start_until) return true;
+  if (service.slow_start_rate <= 0 || now >= entry.slow_start_until) return true;
   while (!entry.recent_sends.empty() && now - entry.recent_sends.front() >= second)
     entry.recent_sends.pop_front();
-  auto share = slow_start_share(service.cold_rate, group, entry.listed.id, wall);
+  auto share = slow_start_share(service.slow_start_rate, group, entry.listed.id, wall);
   return static_cast<std::int64_t>(entry.recent_sends.size()) < share;
 }
 
--- a/src/router/request.cc
+++ b/src/router/request.cc
@@ -12,7 +12,7 @@
 
 // A majority answers within milliseconds; after this time another node serves the client better.
 constexpr microseconds max_ledger_wait = 1200 * millisecond;
-// Upper bound on all attempts: those that reached no engine don't count against the route's tries.
+// Upper bound on all attempts: those that reached no engine don't count against the route's `max_attempts`.
 constexpr int max_attempts = 6;
 
 // Less than half (2/5) of the client's time: the rest is left for its next try.
@@ -77,7 +77,7 @@
   if (budgeted) self->runtime.spawn(reserve_into(self->programs, exchange, until, reserving));
   ledger::chain_result chain;
   chain.status = chain_status::found;
-  bool continues = exchange->route.kept && !exchange->metadata.previous.empty();
+  bool continues = exchange->route.stores_turns && !exchange->metadata.previous.empty();
   if (continues)
     chain = co_await self->programs.read_chain(exchange->ledger_id(exchange->metadata.previous), until);
   auto reserved = program_reservation::granted;
@@ -131,7 +131,8 @@
 // attempt. False: the request can't continue under the current table.
 bool request_router::state::refresh_route(client_exchange& exchange) {
   const auto* route = find_route(exchange);
-  if (!route || route->kept != exchange.route.kept || route->kind != exchange.route.kind) return false;
+  if (!route || route->stores_turns != exchange.route.stores_turns || route->kind != exchange.route.kind)
+    return false;
   exchange.route = *route;
   bool listed = false;
   for (auto& target : route->targets)
@@ -153,7 +154,8 @@
   if (shutdown.is_over(runtime.now()))
     return rejection{503, "this node is ending", shutdown_retry_milliseconds};
   const auto* route = find_route(exchange);
-  bool unchanged = route && route->kept == exchange.route.kept && route->kind == exchange.route.kind;
+  bool unchanged =
+      route && route->stores_turns == exchange.route.stores_turns && route->kind == exchange.route.kind;
   if (unchanged && attempt > 1) unchanged = refresh_route(exchange);
   if (!unchanged) return rejection{503, "the route has changed", 50};
   // The credential may have been revoked while the request waited.
@@ -196,7 +198,7 @@
     return rejection{504, "the engine did not answer in time"};
   if (outcome == attempt_outcome::in_progress) return rejection{409, "the operation is in progress", 100};
   bool not_run = outcome == attempt_outcome::not_run;
-  bool retry = tries < exchange.route.tries && (not_run || is_repeatable(exchange));
+  bool retry = tries < exchange.route.max_attempts && (not_run || is_repeatable(exchange));
   if (retry) return std::nullopt;
   if (not_run) return rejection{503, "the engine is full", 60};
   return rejection{502, "the engine's answer was lost"};
--- a/src/routing/table.cc
+++ b/src/routing/table.cc
@@ -47,8 +47,8 @@
   document = {{"name", from.name},
               {"probe", from.probe},
               {"connections", from.connections},
-              {"cold_seconds", from.cold_seconds},
-              {"cold_rate", from.cold_rate}};
+              {"cold_seconds", from.slow_start_seconds},
+              {"cold_rate", from.slow_start_rate}};
   if (from.deduplicates) document["deduplicates"] = true;
   if (from.model) document["model"] = *from.model;
 }
@@ -58,8 +58,8 @@
   to.name = document.value("name", to.name);
   to.probe = document.value("probe", to.probe);
   to.connections = document.value("connections", to.connections);
-  to.cold_seconds = document.value("cold_seconds", to.cold_seconds);
-  to.cold_rate = document.value("cold_rate", to.cold_rate);
+  to.slow_start_seconds = document.value("cold_seconds", to.slow_start_seconds);
+  to.slow_start_rate = document.value("cold_rate", to.slow_start_rate);
   to.deduplicates = document.value("deduplicates", to.deduplicates);
   auto model = document.find("model");
   if (model != document.end() && !model->is_null()) to.model = model->get<model_engine>();
--- a/src/routing/table.h
+++ b/src/routing/table.h
@@ -46,14 +46,14 @@
   std::int64_t deadline = 0;         // within which a request must be answered
   std::int64_t latency_target = 0;   // within which a request should be answered
   std::int64_t urgency = 0;          // 0: the most urgent
-  std::int64_t tries = 1;            // maximum number of engines that a request is sent to
+  std::int64_t max_attempts = 1;     // maximum number of engines that a request is sent to
   std::int64_t interval_target = 0;  // target for the time between two events of a stream
-  std::int64_t keep = 0;             // how long turns are stored, if `kept`
+  std::int64_t retention = 0;        // how long turns are stored, if `stores_turns`
   std::vector<target> targets;
-  bool kept = false;       // conversations are stored, and prompts are built from the stored turns
-  bool affine = false;     // engines that recently served the request's affinity key are faster
-  bool resumable = false;  // an interrupted stream may be continued on another engine
-  bool anonymous = false;  // requests need no credential
+  bool stores_turns = false;  // conversations are stored, and prompts are built from the stored turns
+  bool affine = false;        // engines that recently served the request's affinity key are faster
+  bool resumable = false;     // an interrupted stream may be continued on another engine
+  bool anonymous = false;     // requests need no credential
 
   static constexpr bool missing_keys_allowed = true;
   static constexpr auto json_fields() {
@@ -62,10 +62,10 @@
                            json_field(&route::prefix, "prefix"), json_field(&route::kind, "kind"),
                            json_field(&route::deadline, "deadline"),
                            json_field(&route::latency_target, "aim"), json_field(&route::urgency, "urgency"),
-                           json_field(&route::tries, "tries"), json_field(&route::interval_target, "gap"),
-                           json_field(&route::keep, "keep"), json_field(&route::targets, "targets"),
-                           json_field(&route::kept, "kept"), json_field(&route::affine, "affine"),
-                           json_field(&route::resumable, "resumable"),
+                           json_field(&route::max_attempts, "tries"),
+                           json_field(&route::interval_target, "gap"), json_field(&route::retention, "keep"),
+                           json_field(&route::targets, "targets"), json_field(&route::stores_turns, "kept"),
+                           json_field(&route::affine, "affine"), json_field(&route::resumable, "resumable"),
                            serialization::json_field_when_set(&route::anonymous, "anonymous"));
   }
 };
@@ -81,9 +81,10 @@
 // A group of engines that answer the same requests. `probe` is the path of the health check.
 struct service {
   std::string name, probe;
-  std::int64_t connections = 64;           // maximum per engine, over all nodes
-  double cold_seconds = 0, cold_rate = 0;  // requests per second to an engine during slow start; 0: unlimited
-  bool deduplicates = false;  // its engines share one table of operation keys and deduplicate by them
+  std::int64_t connections = 64;  // maximum per engine, over all nodes
+  double slow_start_seconds = 0;
+  double slow_start_rate = 0;  // requests per second to an engine during slow start; 0: unlimited
+  bool deduplicates = false;   // its engines share one table of operation keys and deduplicate by them
   std::optional<model_engine> model;
 };
 
--- a/src/storage_node/node.cc
+++ b/src/storage_node/node.cc
@@ -34,7 +34,7 @@
         config(std::move(node_config)),
         logger(node_logger),
         endpoint(handle, config.name, node_logger),
-        members(endpoint, membership::own_entry(config, rpc::node_role::store), config.seeds),
+        members(endpoint, membership::self_entry(config, rpc::node_role::store), config.seeds),
         voter(endpoint, make_voter_options(config)),
         group(endpoint, "store") {
     if (config.protocol_version > 0) endpoint.set_version(config.protocol_version);
--- a/tests/operation_ledger_test.cc
+++ b/tests/operation_ledger_test.cc
@@ -72,7 +72,7 @@
   operation_fixture fixture(39);
   fixture.engine("two", "apps");
   fixture.table.services[0].deduplicates = true;
-  fixture.table.routes.back().tries = 2;
+  fixture.table.routes.back().max_attempts = 2;
   fixture.table.version = 2;
   fixture.begin();
   // The engine that is asked first loses the response, and the other one rejects the request. The case runs
--- a/tests/request_router_fixture.h
+++ b/tests/request_router_fixture.h
@@ -63,8 +63,8 @@
     add_route("/fetch/", "apps", routing::category::idempotent, 3);
     add_route("/write/", "apps", routing::category::mutating, 1);
     add_route("/turn/", "models", routing::category::streaming, 1);
-    table.routes.back().kept = true;
-    table.routes.back().keep = 60000;
+    table.routes.back().stores_turns = true;
+    table.routes.back().retention = 60000;
     stores.world.machine("client", "z");
     stores.world.boot("client");
   }
@@ -77,7 +77,7 @@
     route.kind = kind;
     route.deadline = 4000;
     route.latency_target = 400;
-    route.tries = tries;
+    route.max_attempts = tries;
     route.targets = {{service, 1}};
     table.routes.push_back(route);
   }
--- a/tests/router_plan_test.cc
+++ b/tests/router_plan_test.cc
@@ -55,7 +55,7 @@
     routing::service service;
     service.name = "s";
     service.connections = 60;
-    service.cold_rate = 12;
+    service.slow_start_rate = 12;
     service.model.emplace();
     table.services = {service};
     routing::route route;
--- a/tests/routing_test.cc
+++ b/tests/routing_test.cc
@@ -12,8 +12,8 @@
   chat.name = "chat";
   chat.probe = "/health";
   chat.connections = 360;
-  chat.cold_seconds = 3;
-  chat.cold_rate = 22;
+  chat.slow_start_seconds = 3;
+  chat.slow_start_rate = 22;
   chat.model = model_engine{64, 200000, 4, 3000, {"m"}};
   tool.name = "tool";
   content.services = {chat, tool};
@@ -24,7 +24,7 @@
   talk.kind = category::streaming;
   talk.deadline = 4000;
   talk.targets = {{"chat", 90}, {"tool", 10}};
-  talk.kept = true;
+  talk.stores_turns = true;
   look.name = "look";
   look.host = "A.example";
   look.prefix = "/talk/look/";
--- a/tests/slow_start_share_test.cc
+++ b/tests/slow_start_share_test.cc
@@ -30,7 +30,7 @@
     routing::service service;
     service.name = "s";
     service.connections = 1000;
-    service.cold_rate = rate;
+    service.slow_start_rate = rate;
     table.services = {service};
     routing::route route;
     route.targets = {{"s", 1}};
