--- a/tests/control_site_fixture.h
+++ b/tests/control_site_fixture.h
@@ -93,7 +93,7 @@
     return largest;
   }
   // How many nodes logged the event.
-  std::size_t nodes_that(const std::string& event) {
+  std::size_t count_nodes_that_logged(const std::string& event) {
     std::size_t count = 0;
     for (auto& [name, events] : logged_events)
       count += std::find(events.begin(), events.end(), event) != events.end() ? 1 : 0;
--- a/tests/control_takeover_test.cc
+++ b/tests/control_takeover_test.cc
@@ -53,7 +53,7 @@
     site.world.run_for(6 * second);
     // c4 replaces the frozen owner among the voters.
     freeze_owner_during(site, [] {});
-    REQUIRE(site.nodes_that("group of voters moved") > 0);
+    REQUIRE(site.count_nodes_that_logged("group of voters moved") > 0);
     site.world.kill("c3", simulator::disk_loss::all, true);
     site.world.run_for(replacement_time);
     site.world.kill("c2", simulator::disk_loss::all, true);
--- a/tests/control_test.cc
+++ b/tests/control_test.cc
@@ -12,7 +12,7 @@
     CHECK(site.status("c1", "POST", "/-/config/replace", site.table(5), "0") == 200);
     site.world.run_for(8 * second);
     CHECK(site.logged("storage group founded") == 1);
-    CHECK(site.nodes_that("view installed") == 6);
+    CHECK(site.count_nodes_that_logged("view installed") == 6);
     for (auto core : {"c1", "c2", "c3"}) CHECK(site.ask(core, "GET", "/-/config/read").body == site.table(5));
   }
 }
@@ -30,7 +30,7 @@
     site.world.run_for(4 * second);
     // A view that only the dead core has installed can't be told apart from no view: the others wait until it
     // restarts with what it had written. A view that two cores have installed is completed without it.
-    bool has_quorum = site.nodes_that("view installed") >= 2;
+    bool has_quorum = site.count_nodes_that_logged("view installed") >= 2;
     if (has_quorum) CHECK(site.status("c2", "POST", "/-/config/replace", site.table(5), "0") == 200);
     site.boot_core("c1", step % 4 < 2);
     if (!has_quorum) CHECK(site.status("c2", "POST", "/-/config/replace", site.table(5), "0") == 200);
--- a/tests/heap_meter.cc
+++ b/tests/heap_meter.cc
@@ -29,7 +29,7 @@
 void count_deallocation(std::size_t bytes) { usage.live -= std::min(bytes, usage.live); }
 }  // namespace
 
-heap_usage heap_now() { return usage; }
+heap_usage current_heap_usage() { return usage; }
 void reset_heap_peak() { usage.peak = usage.live; }
 
 #ifdef __SANITIZE_ADDRESS__
--- a/tests/heap_meter.h
+++ b/tests/heap_meter.h
@@ -10,7 +10,7 @@
   std::size_t allocations = 0;     // made so far
 };
 // The usage so far; `peak` is the highest since the last `reset_heap_peak`.
-heap_usage heap_now();
+heap_usage current_heap_usage();
 // Restarts the peak from the current live size.
 void reset_heap_peak();
 
--- a/tests/message_cost_test.cc
+++ b/tests/message_cost_test.cc
@@ -47,11 +47,11 @@
       if (auto* reply = rpc::reply_of(result)) *out = reply->checksum;
     };
     rpc::probe_request request{"", false, make_members(count), 1};
-    auto before = tests::heap_now().allocations;
+    auto before = tests::current_heap_usage().allocations;
     world.runtime_of("a").spawn(send(client, std::move(request), &received));
     REQUIRE(world.run_until([&] { return received.has_value(); }, 2 * second));
     REQUIRE(*received == static_cast<std::int64_t>(count));
-    return tests::heap_now().allocations - before;
+    return tests::current_heap_usage().allocations - before;
   }
 };
 
--- a/tests/operation_ledger_test.cc
+++ b/tests/operation_ledger_test.cc
@@ -38,34 +38,34 @@
   operation_fixture fixture(31);
   auto first = fixture.operation("k");
   CHECK(first.status == 200);
-  fixture.next["one"] = {behaviour{.status = 500}};
+  fixture.next_behaviours["one"] = {behaviour{.status = 500}};
   auto again = fixture.operation("k");
   CHECK(again.status == 200);
   CHECK(again.body == first.body);
   CHECK(again.headers["x-server-seal"] == first.headers["x-server-seal"]);
   CHECK(again.headers["x-attempt-id"] == fixture.last_attempt());
-  CHECK(fixture.seen.size() == 1);
+  CHECK(fixture.received.size() == 1);
   CHECK(fixture.operation("other").status == 500);
   CHECK(fixture.operation("other").status == 500);
-  CHECK(fixture.seen.size() == 2);
+  CHECK(fixture.received.size() == 2);
 }
 
 TEST_CASE("an operation whose response was lost isn't run again") {
   operation_fixture fixture(32);
-  fixture.next["one"] = {behaviour{.lost = true}};
+  fixture.next_behaviours["one"] = {behaviour{.lost = true}};
   CHECK(fixture.operation("k").status == 502);
   CHECK(fixture.operation("k").status == 409);
   fixture.stores.world.run_for(5 * second);
   CHECK(fixture.operation("k").status == 502);
-  CHECK(fixture.seen.size() == 1);
+  CHECK(fixture.received.size() == 1);
 }
 
 TEST_CASE("an operation that an engine reports as not run may be run by a repeated request") {
   operation_fixture fixture(33);
-  fixture.next["one"] = {behaviour{.status = 503, .not_run = true}};
+  fixture.next_behaviours["one"] = {behaviour{.status = 503, .not_run = true}};
   CHECK(fixture.operation("k").status == 503);
   CHECK(fixture.operation("k").status == 200);
-  CHECK(fixture.seen.size() == 2);
+  CHECK(fixture.received.size() == 2);
 }
 
 TEST_CASE("REFUSED: an operation that may have run isn't answered 503 when the next engine rejects it") {
@@ -79,15 +79,15 @@
   // once for each order.
   for (auto* first : {"one", "two"}) {
     auto* other = std::string(first) == "one" ? "two" : "one";
-    fixture.next[first] = {behaviour{.lost = true}};
-    fixture.next[other] = {behaviour{.status = 503, .not_run = true}};
-    fixture.seen.clear();
+    fixture.next_behaviours[first] = {behaviour{.lost = true}};
+    fixture.next_behaviours[other] = {behaviour{.status = 503, .not_run = true}};
+    fixture.received.clear();
     auto got = fixture.operation(std::string("k-") + first);
-    CAPTURE(first, fixture.seen.size());
-    bool lost_first = !fixture.seen.empty() && fixture.seen[0].engine == first;
+    CAPTURE(first, fixture.received.size());
+    bool lost_first = !fixture.received.empty() && fixture.received[0].engine == first;
     if (lost_first) CHECK(got.status == 502);
     if (!lost_first) CHECK(got.status != 200);
-    fixture.next.clear();
+    fixture.next_behaviours.clear();
   }
 }
 
@@ -96,7 +96,7 @@
   fixture.table.services[0].deduplicates = true;
   fixture.table.version = 2;
   fixture.node_router->set_routing(fixture.table, {});
-  fixture.next["one"] = {behaviour{.lost = true}};
+  fixture.next_behaviours["one"] = {behaviour{.lost = true}};
   CHECK(fixture.operation("k").status == 502);
   fixture.table.routes.back().targets = {{"models", 1}};
   fixture.table.version = 3;
@@ -104,14 +104,14 @@
   fixture.node_router->set_engines(fixture.listed.dump(), {});
   fixture.node_router->set_routing(fixture.table, {});
   CHECK(fixture.operation("k").status == 502);
-  CHECK(fixture.seen.size() == 1);
+  CHECK(fixture.received.size() == 1);
   CHECK(fixture.operation("new").status == 200);
-  CHECK(fixture.seen.back().engine == "two");
+  CHECK(fixture.received.back().engine == "two");
 }
 
 TEST_CASE("an operation that has not run may be claimed for another service") {
   operation_fixture fixture(35);
-  fixture.next["one"] = {behaviour{.status = 503, .not_run = true}};
+  fixture.next_behaviours["one"] = {behaviour{.status = 503, .not_run = true}};
   CHECK(fixture.operation("k").status == 503);
   fixture.table.routes.back().targets = {{"models", 1}};
   fixture.table.version = 2;
@@ -125,7 +125,7 @@
   operation_fixture fixture(36);
   for (auto* name : {"s2", "s3"}) fixture.stores.world.kill(name, simulator::disk_loss::none);
   CHECK(fixture.operation("k").status == 503);
-  CHECK(fixture.seen.empty());
+  CHECK(fixture.received.empty());
 }
 
 TEST_CASE("one of two claims wins, and it survives the loss of power at every storage node") {
--- a/tests/platform_calls_test.cc
+++ b/tests/platform_calls_test.cc
@@ -6,7 +6,7 @@
 using namespace herontally::tests;
 
 TEST_CASE("operator commands are parsed by method and path") {
-  auto adapter = words();
+  auto adapter = operator_adapter();
   auto change = std::get<platform_protocol::change_command>(
       adapter.read_command(call("POST", "/-/config/replace", "{}", {{"x-base-version", "5"}})));
   CHECK(change.expected == 5);
@@ -44,7 +44,7 @@
 
 TEST_CASE("each command status maps to its HTTP status and body") {
   using platform_protocol::command_status;
-  auto adapter = words();
+  auto adapter = operator_adapter();
   auto response_to = [&](command_status status,
                          const platform_protocol::command& command = platform_protocol::change_command{}) {
     platform_protocol::command_reply reply;
@@ -74,7 +74,7 @@
 }
 
 TEST_CASE("the engine list and an engine report are parsed") {
-  auto adapter = words();
+  auto adapter = operator_adapter();
   CHECK(adapter.list_path("") == "/instances");
   CHECK(adapter.list_path("p 5/") == "/instances?page_token=p%205%2F");
   json entry{{"id", "i-1"},        {"backend", "chat"}, {"endpoint", "10.0.0.9:80"}, {"zone", "lj-a"},
--- a/tests/platform_fixture.h
+++ b/tests/platform_fixture.h
@@ -47,7 +47,7 @@
       {"caps", {{"header_bytes", 16384}, {"body_bytes", 4194304}, {"header_ms", 3000}, {"idle_ms", 15000}}}};
 }
 
-inline platform_protocol::adapter words() {
+inline platform_protocol::adapter operator_adapter() {
   platform_protocol::adapter made;
   platform::fill_operators(made);
   return made;
--- a/tests/platform_operators_test.cc
+++ b/tests/platform_operators_test.cc
@@ -216,7 +216,7 @@
 }
 
 TEST_CASE("a name that can't be stored as text names no zone and no machine") {
-  auto made = words();
+  auto made = operator_adapter();
   for (auto* path : {"/-/evacuation/\x85/begin", "/-/retire/a\xff/begin", "/-/retire/a b/read"}) {
     auto read = made.read_command(call("POST", path));
     CHECK(std::holds_alternative<platform_protocol::unknown_command>(read));
--- a/tests/request_router_fixture.h
+++ b/tests/request_router_fixture.h
@@ -33,8 +33,8 @@
   std::shared_ptr<router::request_router> node_router;
   routing::table table;
   nlohmann::json listed = nlohmann::json::array();
-  std::vector<received_request> seen;
-  std::map<std::string, std::deque<behaviour>> next;
+  std::vector<received_request> received;
+  std::map<std::string, std::deque<behaviour>> next_behaviours;
   int attempts = 0;
   std::vector<runtime::microseconds> disconnected_at;  // times at which engines saw a client disconnect
   std::vector<http_api::writer> unanswered;            // writers of requests that are never answered
@@ -98,11 +98,11 @@
     node_router->set_nodes(1, {1, 0});
   }
   void serve(const std::string& id, runtime::inbound_request request, http_api::writer out) {
-    seen.push_back({id, request.method, request.target, request.body, request.headers});
+    received.push_back({id, request.method, request.target, request.body, request.headers});
     behaviour action;
-    if (!next[id].empty()) {
-      action = next[id].front();
-      next[id].pop_front();
+    if (!next_behaviours[id].empty()) {
+      action = next_behaviours[id].front();
+      next_behaviours[id].pop_front();
     }
     out->on_gone([this] { disconnected_at.push_back(stores.world.now()); });
     if (action.lost) return out->cut();
--- a/tests/request_router_test.cc
+++ b/tests/request_router_test.cc
@@ -13,15 +13,15 @@
   CHECK(response.status == 200);
   CHECK(response.body == "body of one");
   CHECK(response.headers["x-server-seal"] == "seal");
-  REQUIRE(fixture.seen.size() == 1);
-  CHECK(fixture.seen[0].method == "POST");
-  CHECK(fixture.seen[0].target == "/write/x%20y?q=1&r=%2F");
-  CHECK(fixture.seen[0].body == "a body");
-  CHECK(fixture.seen[0].headers["x-other"] == "kept");
-  CHECK_FALSE(fixture.seen[0].headers.count("x-hop"));
-  CHECK(fixture.seen[0].headers["host"] == "h.example");
-  CHECK(fixture.seen[0].headers["x-target-instance"] == "one");
-  CHECK(std::stoi(fixture.seen[0].headers["x-time-left-ms"]) <= 3000);
+  REQUIRE(fixture.received.size() == 1);
+  CHECK(fixture.received[0].method == "POST");
+  CHECK(fixture.received[0].target == "/write/x%20y?q=1&r=%2F");
+  CHECK(fixture.received[0].body == "a body");
+  CHECK(fixture.received[0].headers["x-other"] == "kept");
+  CHECK_FALSE(fixture.received[0].headers.count("x-hop"));
+  CHECK(fixture.received[0].headers["host"] == "h.example");
+  CHECK(fixture.received[0].headers["x-target-instance"] == "one");
+  CHECK(std::stoi(fixture.received[0].headers["x-time-left-ms"]) <= 3000);
 }
 
 TEST_CASE(
@@ -34,7 +34,7 @@
   fixture.begin();
   CHECK(fixture.request("GET", "/nowhere/1", "").status == 404);
   CHECK(fixture.request("GET", "/fetch", "").status == 404);
-  CHECK(fixture.seen.empty());
+  CHECK(fixture.received.empty());
 }
 
 TEST_CASE("a mutating request is sent once, and gets 502 if its answer is lost") {
@@ -42,21 +42,21 @@
   fixture.engine("one", "apps");
   fixture.engine("two", "apps");
   fixture.begin();
-  fixture.next["one"] = fixture.next["two"] = {behaviour{.lost = true}};
+  fixture.next_behaviours["one"] = fixture.next_behaviours["two"] = {behaviour{.lost = true}};
   auto response = fixture.request("POST", "/write/1", "x");
   CHECK(response.status == 502);
-  CHECK(fixture.seen.size() == 1);
+  CHECK(fixture.received.size() == 1);
 }
 
 TEST_CASE("an idempotent request is retried at other engines, as often as its route allows") {
   request_router_fixture fixture(14);
   for (auto* id : {"one", "two", "three", "four"}) fixture.engine(id, "apps");
   fixture.begin();
-  for (auto* id : {"one", "two", "three", "four"}) fixture.next[id] = {behaviour{.lost = true}};
+  for (auto* id : {"one", "two", "three", "four"}) fixture.next_behaviours[id] = {behaviour{.lost = true}};
   CHECK(fixture.request("GET", "/fetch/1", "").status == 502);
-  CHECK(fixture.seen.size() == 3);
+  CHECK(fixture.received.size() == 3);
   std::set<std::string> engines;
-  for (auto& each : fixture.seen) engines.insert(each.engine);
+  for (auto& each : fixture.received) engines.insert(each.engine);
   CHECK(engines.size() == 3);
 }
 
@@ -64,13 +64,13 @@
   request_router_fixture fixture(15);
   fixture.engine("one", "apps");
   fixture.begin();
-  fixture.next["one"] = {behaviour{.status = 503, .not_run = true}};
+  fixture.next_behaviours["one"] = {behaviour{.status = 503, .not_run = true}};
   auto response = fixture.request("POST", "/write/1", "x");
   CHECK(response.status == 503);
   CHECK_FALSE(response.headers["retry-after"].empty());
-  fixture.next["one"] = {behaviour{.status = 503}};
+  fixture.next_behaviours["one"] = {behaviour{.status = 503}};
   CHECK(fixture.request("POST", "/write/1", "x").status == 502);
-  fixture.next["one"] = {behaviour{.status = 500}};
+  fixture.next_behaviours["one"] = {behaviour{.status = 500}};
   CHECK(fixture.request("POST", "/write/1", "x").status == 500);
 }
 
@@ -78,7 +78,7 @@
   request_router_fixture fixture(16);
   fixture.engine("one", "apps");
   fixture.begin();
-  fixture.next["one"] = {behaviour{.sealed = false}};
+  fixture.next_behaviours["one"] = {behaviour{.sealed = false}};
   CHECK(fixture.request("POST", "/write/1", "x").status == 502);
 }
 
@@ -90,18 +90,18 @@
   fixture.begin();
   behaviour other{.status = 421};
   other.headers["X-Instance"] = "somebody";
-  fixture.next["one"] = fixture.next["two"] = {other};
+  fixture.next_behaviours["one"] = fixture.next_behaviours["two"] = {other};
   auto response = fixture.request("POST", "/write/1", "x");
   // Other instances serve both addresses: nothing ran, which is what 503 tells the client.
   CHECK(response.status == 503);
-  CHECK(fixture.seen.size() == 2);
+  CHECK(fixture.received.size() == 2);
 }
 
 TEST_CASE("the engine gets a kept turn with exactly the chain of turns before it") {
   request_router_fixture fixture(18);
   fixture.engine("model", "models");
   fixture.begin();
-  fixture.next["model"] = {behaviour{.events = 2}, behaviour{.events = 1}, behaviour{.events = 1}};
+  fixture.next_behaviours["model"] = {behaviour{.events = 2}, behaviour{.events = 1}, behaviour{.events = 1}};
   std::string first_input = std::string("in\xff\x01", 4) + "1";
   auto first = fixture.request("POST", "/turn/1", first_input);
   CHECK(first.status == 200);
@@ -110,16 +110,16 @@
   std::string turn = fixture.last_attempt();
   CHECK(fixture.request("POST", "/turn/1", "in2", {{"X-Previous-Turn", turn}}).status == 200);
   std::string second_turn = fixture.last_attempt();
-  CHECK(fixture.seen.back().body == first_input + "e1\ne2\nin2");
+  CHECK(fixture.received.back().body == first_input + "e1\ne2\nin2");
   // A branch: another turn that continues from the first one.
   fixture.request("POST", "/turn/1", "in3", {{"X-Previous-Turn", turn}});
-  CHECK(fixture.seen.back().body == first_input + "e1\ne2\nin3");
-  fixture.next["model"] = {behaviour{.events = 1}};
+  CHECK(fixture.received.back().body == first_input + "e1\ne2\nin3");
+  fixture.next_behaviours["model"] = {behaviour{.events = 1}};
   fixture.request("POST", "/turn/1", "in4", {{"X-Previous-Turn", second_turn}});
-  CHECK(fixture.seen.back().body == first_input + "e1\ne2\nin2e1\nin4");
-  auto count = fixture.seen.size();
+  CHECK(fixture.received.back().body == first_input + "e1\ne2\nin2e1\nin4");
+  auto count = fixture.received.size();
   CHECK(fixture.request("POST", "/turn/1", "x", {{"X-Previous-Turn", "nobody"}}).status == 404);
-  CHECK(fixture.seen.size() == count);
+  CHECK(fixture.received.size() == count);
 }
 
 TEST_CASE("a turn stays readable with its chain after earlier turns of the chain have expired") {
@@ -130,7 +130,7 @@
         fixture.stores.loggers.at(name)));
   fixture.engine("model", "models");
   fixture.begin();
-  fixture.next["model"] = {behaviour{.events = 1}, behaviour{.events = 1}, behaviour{.events = 1}};
+  fixture.next_behaviours["model"] = {behaviour{.events = 1}, behaviour{.events = 1}, behaviour{.events = 1}};
   REQUIRE(fixture.request("POST", "/turn/1", "in1").status == 200);
   auto first = fixture.last_attempt();
   // Each further turn continues one that is 50 s old; turns are kept for 60 s.
@@ -140,7 +140,7 @@
   auto second_turn = fixture.last_attempt();
   fixture.stores.world.run_for(age);
   REQUIRE(fixture.request("POST", "/turn/1", "in3", {{"X-Previous-Turn", second_turn}}).status == 200);
-  CHECK(fixture.seen.back().body == "in1e1\nin2e1\nin3");
+  CHECK(fixture.received.back().body == "in1e1\nin2e1\nin3");
   auto third = fixture.last_attempt();
   fixture.stores.world.run_for(age);
   // Another node, which has nothing cached in memory.
@@ -157,7 +157,7 @@
   request_router_fixture fixture(19);
   fixture.engine("model", "models");
   fixture.begin();
-  fixture.next["model"] = {behaviour{.events = 3, .break_after = 2}};
+  fixture.next_behaviours["model"] = {behaviour{.events = 3, .break_after = 2}};
   auto response = fixture.request("POST", "/turn/1", "in");
   CHECK_FALSE(response.complete);
   CHECK(fixture.request("POST", "/turn/1", "x", {{"X-Previous-Turn", fixture.last_attempt()}}).status == 404);
@@ -169,14 +169,14 @@
   fixture.begin();
   std::map<std::string, std::string> program{
       {"X-Program", "p"}, {"X-Token-Budget", "16"}, {"X-Token-Count", "100,12"}};
-  for (int turn = 0; turn < 4; ++turn) fixture.next["model"].push_back(behaviour{.events = 2});
+  for (int turn = 0; turn < 4; ++turn) fixture.next_behaviours["model"].push_back(behaviour{.events = 2});
   // Eight tokens each: two turns spend the budget of 16.
   CHECK(fixture.request("POST", "/turn/1", "in", program).status == 200);
   fixture.stores.world.run_for(second);
   CHECK(fixture.request("POST", "/turn/1", "in", program).status == 200);
   fixture.stores.world.run_for(second);
   CHECK(fixture.request("POST", "/turn/1", "in", program).status == 402);
-  CHECK(fixture.seen.size() == 2);
+  CHECK(fixture.received.size() == 2);
 }
 
 TEST_CASE("without a majority of the stores a turn that continues a chain gets 503 and is not run") {
@@ -187,5 +187,5 @@
   auto response = fixture.request("POST", "/turn/1", "in", {{"X-Previous-Turn", "unknown"}});
   CHECK(response.status == 503);
   CHECK_FALSE(response.headers["retry-after"].empty());
-  CHECK(fixture.seen.empty());
+  CHECK(fixture.received.empty());
 }
--- a/tests/request_router_time_test.cc
+++ b/tests/request_router_time_test.cc
@@ -31,7 +31,7 @@
   fixture.engine("one", "apps");
   fixture.table.routes[1].deadline = 700;
   fixture.begin();
-  fixture.next["one"] = {behaviour{.silent = true}};
+  fixture.next_behaviours["one"] = {behaviour{.silent = true}};
   auto started_at = fixture.stores.world.now();
   auto response = fixture.request("POST", "/write/1", "x");
   CHECK(response.status == 504);
@@ -44,7 +44,7 @@
   fixture.engine("one", "models");
   fixture.table.routes[2].deadline = 800;
   fixture.begin();
-  fixture.next["one"] = {behaviour{.events = 3, .delay = 600 * millisecond}};
+  fixture.next_behaviours["one"] = {behaviour{.events = 3, .delay = 600 * millisecond}};
   auto& world = fixture.stores.world;
   // The stores become unreachable before the answer ends.
   world.runtime_of("client").after(300 * millisecond, [&world] {
@@ -60,7 +60,7 @@
   request_router_fixture fixture(33);
   fixture.engine("one", "apps");
   fixture.begin();
-  fixture.next["one"] = {behaviour{.silent = true}};
+  fixture.next_behaviours["one"] = {behaviour{.silent = true}};
   auto runtime = fixture.stores.world.runtime_of("client");
   fixture.stores.run("client",
                      request_then_disconnect(runtime, request_for("GET", "/fetch/1"), 300 * millisecond));
@@ -69,7 +69,7 @@
   REQUIRE(fixture.disconnected_at.size() == 1);
   CHECK(fixture.disconnected_at[0] - left <= 100 * millisecond);
   // The request is not retried for a client that has disconnected.
-  CHECK(fixture.seen.size() == 1);
+  CHECK(fixture.received.size() == 1);
 }
 
 TEST_CASE("a request whose client disconnected while it waited reaches no engine") {
@@ -78,7 +78,7 @@
   fixture.listed[0]["capacity"] = 1;
   fixture.table.routes[0].latency_target = 10000;
   fixture.begin();
-  fixture.next["one"] = {behaviour{.delay = 600 * millisecond}};
+  fixture.next_behaviours["one"] = {behaviour{.delay = 600 * millisecond}};
   auto runtime = fixture.stores.world.runtime_of("client");
   // Occupies the engine, whose capacity is 1, for a while.
   runtime.spawn([](runtime::handle from) -> runtime::task<> {
@@ -88,21 +88,22 @@
   fixture.stores.run(
       "client", request_then_disconnect(runtime, request_for("GET", "/fetch/second"), 200 * millisecond));
   fixture.stores.world.run_for(2 * second);
-  REQUIRE(fixture.seen.size() == 1);
-  CHECK(fixture.seen[0].target == "/fetch/first");
+  REQUIRE(fixture.received.size() == 1);
+  CHECK(fixture.received[0].target == "/fetch/first");
 }
 
 TEST_CASE("an engine of a later attempt is told the time that is left then") {
   request_router_fixture fixture(35);
   for (auto* id : {"one", "two"}) fixture.engine(id, "apps");
   fixture.begin();
-  fixture.next["one"] =
-      fixture.next["two"] = {behaviour{.status = 500, .sealed = false, .delay = 900 * millisecond}};
-  fixture.next["one"][0].status = fixture.next["two"][0].status = 200;  // without the seal this is no success
+  fixture.next_behaviours["one"] = fixture.next_behaviours["two"] = {
+      behaviour{.status = 500, .sealed = false, .delay = 900 * millisecond}};
+  // Without the seal this is no success.
+  fixture.next_behaviours["one"][0].status = fixture.next_behaviours["two"][0].status = 200;
   fixture.request("GET", "/fetch/1", "");
-  REQUIRE(fixture.seen.size() >= 2);
-  auto first = std::stoi(fixture.seen[0].headers["x-time-left-ms"]);
-  auto second = std::stoi(fixture.seen[1].headers["x-time-left-ms"]);
+  REQUIRE(fixture.received.size() >= 2);
+  auto first = std::stoi(fixture.received[0].headers["x-time-left-ms"]);
+  auto second = std::stoi(fixture.received[1].headers["x-time-left-ms"]);
   CHECK(first <= 3000);
   CHECK(first > 2900);
   CHECK(second <= first - 900);
@@ -115,8 +116,8 @@
   auto request = request_for("GET", "/fetch/1");
   request.headers.erase("X-Time-Left-Ms");
   fixture.stores.run("client", fixture.ask(fixture.stores.world.runtime_of("client"), request));
-  REQUIRE(fixture.seen.size() == 1);
-  auto told = std::stoi(fixture.seen[0].headers["x-time-left-ms"]);
+  REQUIRE(fixture.received.size() == 1);
+  auto told = std::stoi(fixture.received[0].headers["x-time-left-ms"]);
   CHECK(told <= 4000);
   CHECK(told > 3900);
 }
@@ -138,5 +139,5 @@
   CHECK(response.status == 503);
   CHECK_FALSE(response.headers["retry-after"].empty());
   CHECK(world.now() - started_at <= 400 * millisecond);
-  CHECK(fixture.seen.empty());
+  CHECK(fixture.received.empty());
 }
--- a/tests/shutdown_admission_test.cc
+++ b/tests/shutdown_admission_test.cc
@@ -79,7 +79,7 @@
   }
   // Sends a request that the engine never answers.
   void occupy_engine() {
-    next["one"].push_back(behaviour{.silent = true});
+    next_behaviours["one"].push_back(behaviour{.silent = true});
     runtime::http_request outgoing;
     outgoing.method = "POST";
     outgoing.path = "/write/first";
@@ -90,7 +90,7 @@
     auto runtime = stores.world.runtime_of("client");
     runtime.spawn(work(runtime, std::move(outgoing)));
     stores.world.run_for(100 * millisecond);
-    REQUIRE(seen.size() == 1);
+    REQUIRE(received.size() == 1);
   }
 };
 
@@ -107,12 +107,12 @@
   CHECK(response.complete);
   CHECK(response.status == 503);
   CHECK(fixture.stores.world.now() - started_at < 1100 * millisecond);
-  CHECK(fixture.seen.size() == 1);
+  CHECK(fixture.received.size() == 1);
 }
 
 TEST_CASE("a request that an engine is processing when the process ends gets 502") {
   shutdown_fixture fixture(42);
-  fixture.next["one"] = {behaviour{.silent = true}};
+  fixture.next_behaviours["one"] = {behaviour{.silent = true}};
   fixture.schedule_shutdown(100 * millisecond, second);
   auto response = fixture.request("POST", "/write/1", "x");
   CHECK(response.complete);
@@ -124,7 +124,7 @@
   fixture.node_router->begin_shutdown(fixture.stores.world.runtime_of("w").now() + 2 * second);
   auto response = fixture.request("POST", "/write/1", "x");
   CHECK(response.status == 503);
-  CHECK(fixture.seen.empty());
+  CHECK(fixture.received.empty());
 }
 
 TEST_CASE("a request that arrives during a shutdown and can finish in time is served") {
--- a/tests/storage_memory_test.cc
+++ b/tests/storage_memory_test.cc
@@ -64,7 +64,7 @@
   constexpr std::size_t max_live_bytes = record_total * max_bytes_per_record;
   {
     runtime::event_loop process(folder.path);
-    auto before = tests::heap_now().live;
+    auto before = tests::current_heap_usage().live;
     storage::log_store store(process.runtime(), day_store_options(), logger);
     REQUIRE_FALSE(store.recover());
     int written = 0;
@@ -73,17 +73,17 @@
     process.run();
     REQUIRE(written == record_total);
     REQUIRE(logger.value("herontally_disk_compactions_total") > 5);
-    auto use = tests::heap_now();
+    auto use = tests::current_heap_usage();
     INFO("live " << use.live - before << ", peak " << use.peak - before);
     REQUIRE(use.live - before < max_live_bytes);
     REQUIRE(use.peak - before < max_live_bytes + max_temporary_bytes);
   }
   runtime::event_loop process(folder.path);
-  auto before = tests::heap_now().live;
+  auto before = tests::current_heap_usage().live;
   tests::reset_heap_peak();
   storage::log_store store(process.runtime(), day_store_options(), logger);
   REQUIRE_FALSE(store.recover());
-  auto use = tests::heap_now();
+  auto use = tests::current_heap_usage();
   INFO("live " << use.live - before << ", peak " << use.peak - before);
   REQUIRE(use.live - before < max_live_bytes);
   REQUIRE(use.peak - before < max_live_bytes + max_temporary_bytes);
--- a/tests/store_overload_test.cc
+++ b/tests/store_overload_test.cc
@@ -39,7 +39,7 @@
   auto results = std::make_shared<put_results>();
   auto view = writer.current_view().number;
   site.world.find("s1").disk.sync_time = 20 * second;
-  auto before = tests::heap_now().live;
+  auto before = tests::current_heap_usage().live;
   tests::reset_heap_peak();
   for (int burst = 0; burst < bursts; ++burst) {
     for (int number = 0; number < puts_in_burst; ++number) {
@@ -52,7 +52,7 @@
     }
     site.world.run_for(20 * millisecond);
   }
-  std::size_t held = tests::heap_now().peak - before;
+  std::size_t held = tests::current_heap_usage().peak - before;
   INFO("held at the most " << (held >> 10) << " kB of " << (bursts * puts_in_burst * body_bytes >> 10)
                            << " kB offered; " << results->answered << " answered");
   REQUIRE(held < max_held_memory);
--- a/tests/tenant_test.cc
+++ b/tests/tenant_test.cc
@@ -68,9 +68,9 @@
   tenant_fixture fixture(21);
   fixture.begin();
   CHECK(fixture.as("key-2", "GET", "/fetch/1", {{"X-Tenant", "mart"}}).status == 200);
-  REQUIRE(fixture.seen.size() == 1);
-  CHECK(fixture.seen[0].headers["x-tenant"] == "shop");
-  CHECK_FALSE(fixture.seen[0].headers.contains("authorization"));
+  REQUIRE(fixture.received.size() == 1);
+  CHECK(fixture.received[0].headers["x-tenant"] == "shop");
+  CHECK_FALSE(fixture.received[0].headers.contains("authorization"));
 }
 
 TEST_CASE("an unknown credential gets 401, and a public route needs none") {
@@ -79,12 +79,12 @@
   CHECK(fixture.as("", "GET", "/fetch/1").status == 401);
   CHECK(fixture.as("key-9", "GET", "/fetch/1").status == 401);
   CHECK(fixture.request("GET", "/fetch/1", "", {{"Authorization", "Basic key-1"}}).status == 401);
-  CHECK(fixture.seen.empty());
+  CHECK(fixture.received.empty());
   CHECK(fixture.as("", "GET", "/open/1", {{"X-Tenant", "shop"}}).status == 200);
-  REQUIRE(fixture.seen.size() == 1);
-  CHECK_FALSE(fixture.seen[0].headers.contains("x-tenant"));
+  REQUIRE(fixture.received.size() == 1);
+  CHECK_FALSE(fixture.received[0].headers.contains("x-tenant"));
   CHECK(fixture.as("key-3", "GET", "/open/1").status == 200);
-  CHECK(fixture.seen[1].headers["x-tenant"] == "mart");
+  CHECK(fixture.received[1].headers["x-tenant"] == "mart");
 }
 
 TEST_CASE("without tenants the client's own headers are forwarded unchanged") {
@@ -92,7 +92,7 @@
   fixture.table.tenants.clear();
   fixture.begin();
   CHECK(fixture.as("key-9", "GET", "/fetch/1").status == 200);
-  CHECK(fixture.seen[0].headers["authorization"] == "Token key-9");
+  CHECK(fixture.received[0].headers["authorization"] == "Token key-9");
 }
 
 TEST_CASE("a revoked credential is rejected, and a new one is accepted") {
@@ -108,14 +108,14 @@
 TEST_CASE("another tenant's turn can't be continued") {
   tenant_fixture fixture(25);
   fixture.begin();
-  fixture.next["model"] = {behaviour{.events = 2}, behaviour{.events = 2}};
+  fixture.next_behaviours["model"] = {behaviour{.events = 2}, behaviour{.events = 2}};
   CHECK(fixture.as("key-1", "POST", "/turn/1").status == 200);
   auto first = fixture.last_attempt();
   CHECK(fixture.as("key-3", "POST", "/turn/1", {{"X-Previous-Turn", first}}).status == 404);
   CHECK(fixture.as("key-3", "POST", "/turn/1", {{"X-Previous-Turn", "4:shop/" + first}}).status == 404);
-  CHECK(fixture.seen.size() == 1);
+  CHECK(fixture.received.size() == 1);
   CHECK(fixture.as("key-2", "POST", "/turn/1", {{"X-Previous-Turn", first}}).status == 200);
-  CHECK(fixture.seen[1].body == "bodye1\ne2\nbody");
+  CHECK(fixture.received[1].body == "bodye1\ne2\nbody");
 }
 
 TEST_CASE("a tenant's urgency takes precedence over the route's") {
@@ -125,8 +125,8 @@
   fixture.begin();
   fixture.as("key-1", "GET", "/fetch/1");
   fixture.as("key-3", "POST", "/write/1");
-  REQUIRE(fixture.seen.size() == 2);
-  CHECK(fixture.seen[0].headers["x-urgency"] < fixture.seen[1].headers["x-urgency"]);
+  REQUIRE(fixture.received.size() == 2);
+  CHECK(fixture.received[0].headers["x-urgency"] < fixture.received[1].headers["x-urgency"]);
 }
 
 TEST_CASE("engines that share a key table get the key, and a request whose answer is lost is repeated") {
@@ -134,10 +134,10 @@
   fixture.engine("two", "apps");
   fixture.table.services[0].deduplicates = true;
   fixture.begin();
-  fixture.next["one"] = fixture.next["two"] = {behaviour{.lost = true}};
+  fixture.next_behaviours["one"] = fixture.next_behaviours["two"] = {behaviour{.lost = true}};
   auto response = fixture.as("key-1", "POST", "/keyed/1", {{"X-Operation-Key", "k"}});
-  REQUIRE(fixture.seen.size() == 2);
-  CHECK(fixture.seen[1].headers["x-operation-key"] == "k");
+  REQUIRE(fixture.received.size() == 2);
+  CHECK(fixture.received[1].headers["x-operation-key"] == "k");
   CHECK(response.status == 502);
 }
 
@@ -145,10 +145,10 @@
   tenant_fixture fixture(28);
   fixture.table.services[0].deduplicates = true;
   fixture.begin();
-  fixture.next["one"] = {behaviour{.status = 409, .not_run = true}};
+  fixture.next_behaviours["one"] = {behaviour{.status = 409, .not_run = true}};
   auto response = fixture.as("key-1", "POST", "/keyed/1", {{"X-Operation-Key", "k"}});
   CHECK(response.status == 409);
-  CHECK(fixture.seen.size() == 1);
+  CHECK(fixture.received.size() == 1);
 }
 
 TEST_CASE("credentials are found by their digests") {
