--- a/src/agent/node.cc
+++ b/src/agent/node.cc
@@ -45,7 +45,7 @@
       [link = self->proxy](rpc::config_update_request request) { return link->serve(std::move(request)); });
   shared->trace.serve(shared->endpoint, rpc::node_role::agent);
   if (!shared->endpoint.listen(shared->node_settings.inner))
-    co_return "inner can't be listened on: " + shared->node_settings.inner;
+    co_return "can't listen on the inner address: " + shared->node_settings.inner;
   shared->members.start();
   shared->runtime.spawn(self->feed->poll_cores());
   shared->runtime.spawn(self->feed->poll_peers());
@@ -56,7 +56,7 @@
     if (auto here = weak.lock()) here->serve_http(request, out);
   };
   if (!shared->runtime.http_serve(shared->node_settings.http, pages))
-    co_return "http can't be listened on: " + shared->node_settings.http;
+    co_return "can't listen on the http address: " + shared->node_settings.http;
   shared->logger.info("started");
   co_return std::nullopt;
 }
--- a/src/engine_stand_in/node.cc
+++ b/src/engine_stand_in/node.cc
@@ -52,7 +52,7 @@
         if (auto here = weak.lock())
           here->runtime.spawn(here->serve_request(std::move(incoming), std::move(out)));
       });
-  if (!served) co_return "http can't be listened on: " + state_->choice.http;
+  if (!served) co_return "can't listen on the http address: " + state_->choice.http;
   co_return std::nullopt;
 }
 
--- a/src/platform_stand_in/node.cc
+++ b/src/platform_stand_in/node.cc
@@ -91,7 +91,7 @@
                                            [weak](runtime::inbound_request incoming, http_api::writer out) {
                                              if (auto here = weak.lock()) here->serve_request(incoming, out);
                                            });
-  if (!served) co_return "http can't be listened on: " + state_->choice.http;
+  if (!served) co_return "can't listen on the http address: " + state_->choice.http;
   state_->runtime.spawn(state::check_nodes(state_));
   co_return std::nullopt;
 }
--- a/src/proxy/node.cc
+++ b/src/proxy/node.cc
@@ -103,7 +103,7 @@
   }
   shared->runtime.spawn(self->follower->run());
   if (!shared->endpoint.listen(shared->node_settings.inner))
-    co_return "inner can't be listened on: " + shared->node_settings.inner;
+    co_return "can't listen on the inner address: " + shared->node_settings.inner;
   shared->trace.serve(shared->endpoint, rpc::node_role::proxy);
   auto serve = [weak = std::weak_ptr<state>(self)](runtime::inbound_request request, http_api::writer out) {
     auto locked = weak.lock();
@@ -112,7 +112,7 @@
     shared.runtime.spawn(http_api::serve_guarded(locked->serve(std::move(request), out), out, shared.logger));
   };
   if (!shared->runtime.http_serve(shared->node_settings.http, serve))
-    co_return "http can't be listened on: " + shared->node_settings.http;
+    co_return "can't listen on the http address: " + shared->node_settings.http;
   shared->logger.info("started", {{"agent", shared->node_settings.agent}});
   co_return std::nullopt;
 }
--- a/src/proxy/platform_ingress.cc
+++ b/src/proxy/platform_ingress.cc
@@ -46,7 +46,7 @@
         http_api::serve_guarded(self->router_.serve(std::move(request), out), out, shared.logger));
   };
   if (!runtime.http_serve(node_settings.ingress, serve_client))
-    return "ingress can't be listened on: " + node_settings.ingress;
+    return "can't listen on the ingress address: " + node_settings.ingress;
   auto serve_readiness = [weak](runtime::inbound_request request, http_api::writer out) {
     auto self = weak.lock();
     if (!self) return;
@@ -56,7 +56,7 @@
     out->reply(std::move(response));
   };
   if (!runtime.http_serve(node_settings.readiness, serve_readiness))
-    return "readiness can't be listened on: " + node_settings.readiness;
+    return "can't listen on the readiness address: " + node_settings.readiness;
   return std::nullopt;
 }
 
--- a/src/storage_node/node.cc
+++ b/src/storage_node/node.cc
@@ -63,12 +63,12 @@
   });
   auto opened = co_await self->voter.open();
   if (opened == replication::open_error::failed)
-    co_return std::string("data can't be read or written: ") + self->config.data;
+    co_return std::string("can't read or write the data folder: ") + self->config.data;
   if (self->voter.current_view().number > 0) self->group.learn_view(self->voter.current_view());
   self->members.start();
   // Listens only from here on, when messages of every kind can be answered.
   if (!self->endpoint.listen(self->config.inner))
-    co_return "inner can't be listened on: " + self->config.inner;
+    co_return "can't listen on the inner address: " + self->config.inner;
   self->runtime.spawn(self->voter.repair_forever());
   self->runtime.spawn(expire_forever(self->voter, self->group, self->members));
   self->runtime.spawn(state::watch_forever(self));
@@ -78,7 +78,7 @@
         if (!locked || http_api::serve_common_endpoints(request, out, locked->logger, locked->ready)) return;
         http_api::reject(out, 404, "no such page", http_api::executed::no);
       });
-  if (!served) co_return "http can't be listened on: " + self->config.http;
+  if (!served) co_return "can't listen on the http address: " + self->config.http;
   self->logger.info("started", {{"voter", self->voter.id()}, {"keys", self->voter.records().record_count()}});
   co_return std::nullopt;
 }
