--- a/src/control_node/operator_api.cc
+++ b/src/control_node/operator_api.cc
@@ -119,8 +119,8 @@
 }  // namespace
 
 std::optional<std::string> operator_api::authorized_partner(const runtime::inbound_request& request) const {
-  auto token = http_api::bearer(request);
-  for (auto& known : context_->place.operators)
+  auto token = http_api::bearer_token(request);
+  for (auto& known : context_->node_settings.operators)
     if (!token.empty() && known.token == token) return known.partner;
   return std::nullopt;
 }
@@ -199,12 +199,12 @@
   edit requested_edit = [self, zone, begin, partner = *partner](const configuration::record& current,
                                                                 const std::string& change_id) {
     json document = current.document;
-    auto zones = configuration::shared_names(document, configuration::evacuated_zones);
+    auto zones = configuration::shared_list(document, configuration::evacuated_zones);
     if (begin)
       zones.insert(zone);
     else
       zones.erase(zone);
-    configuration::set_shared_names(document, configuration::evacuated_zones, zones);
+    configuration::set_shared_list(document, configuration::evacuated_zones, zones);
     return validate_change(current, std::move(document), partner, change_id,
                            deployment_state_of(*self->context_));
   };
@@ -216,14 +216,14 @@
   edit requested_edit = [self, node, partner](const configuration::record& current,
                                               const std::string& change_id) {
     json document = current.document;
-    auto nodes = configuration::shared_names(document, configuration::retiring_storage);
+    auto nodes = configuration::shared_list(document, configuration::retiring_storage);
     if (!nodes.insert(node).second) {
       edit_result refusal;
       refusal.refusal = change_outcome::conflict;
       refusal.reason = node + " is retiring already";
       return refusal;
     }
-    configuration::set_shared_names(document, configuration::retiring_storage, nodes);
+    configuration::set_shared_list(document, configuration::retiring_storage, nodes);
     return validate_change(current, std::move(document), partner, change_id,
                            deployment_state_of(*self->context_));
   };
@@ -253,7 +253,7 @@
   bool holds_copies = false, moving = agreed->joint();
   for (auto& voter : agreed->all_voters()) holds_copies = holds_copies || voter.node == node;
   bool retiring =
-      configuration::shared_names(config->document, configuration::retiring_storage).contains(node);
+      configuration::shared_list(config->document, configuration::retiring_storage).contains(node);
   // Once the agreed view lacks the node and isn't joint, all copies of every key are on other voters.
   bool removable = retiring && !holds_copies && !moving;
   json body{{"node", node},     {"retiring", retiring},   {"holds_copies", holds_copies},
@@ -274,20 +274,20 @@
     reject(out, 503, "no member is known at " + voter.address, executed::no, 1);
     co_return false;
   }
-  auto founded = co_await reconfiguration::begin_group(shared->endpoint, group, voters,
-                                                       shared->runtime.now() + founding_timeout);
+  auto founded = co_await reconfiguration::bootstrap_group(shared->endpoint, group, voters,
+                                                           shared->runtime.now() + founding_timeout);
   if (auto* error = std::get_if<reconfiguration::move_error>(&founded)) {
     using reconfiguration::move_error;
-    bool already_founded = *error == move_error::already_there || *error == move_error::not_empty;
+    bool already_founded = *error == move_error::already_member || *error == move_error::not_empty;
     reject(out, already_founded ? 409 : 503,
            already_founded ? group + " has begun already" : "a voter can't be reached", executed::no,
            already_founded ? 0 : 1);
     co_return false;
   }
   auto first_view = std::get<consensus::view>(founded);
-  (group == core_group ? shared->catalog : shared->stores).learn(first_view);
+  (group == core_group ? shared->catalog : shared->stores).learn_view(first_view);
   auto written = co_await shared->catalog.change(reconfiguration::view_register_key(group),
-                                                 reconfiguration::first_view_if_none(first_view),
+                                                 reconfiguration::set_first_view_if_absent(first_view),
                                                  shared->runtime.now() + founding_timeout, true);
   if (!written.value)
     reject(out, 503, "the first view could not be settled; ask again", executed::unknown, 1);
@@ -336,7 +336,7 @@
 task<> operator_api::serve(runtime::inbound_request request, http_api::writer out) {
   auto self = shared_from_this();
   bool ready = self->reader_->is_confirmed() && !self->context_->leaving;
-  if (http_api::common_pages(request, out, self->context_->logger, ready)) co_return;
+  if (http_api::serve_common_endpoints(request, out, self->context_->logger, ready)) co_return;
   auto parts = http_api::split_path(request.path);
   bool item = parts.size() == 4 && parts[0] == "v1";
   if (request.path == "/v1/desired")
--- a/src/control_node/voter_group_manager.cc
+++ b/src/control_node/voter_group_manager.cc
@@ -78,7 +78,7 @@
 std::set<std::string> voter_group_manager::retiring_nodes() const {
   auto config = context_->current_config();
   if (!config || role_ != rpc::node_role::store) return {};
-  return configuration::shared_names(config->document, configuration::retiring_storage);
+  return configuration::shared_list(config->document, configuration::retiring_storage);
 }
 
 task<std::vector<voter_observation>> voter_group_manager::observe_voters(view agreed_view) {
@@ -163,7 +163,8 @@
   auto plan = std::make_shared<pending_plan>();
   plan->spares = self->spare_candidates(observed);
   for (int round = 0; round < max_planning_rounds; ++round) {
-    plan->target = plan_voters(agreed_view, observed, plan->spares, loss_budget_from(self->context_->place));
+    plan->target =
+        plan_voters(agreed_view, observed, plan->spares, loss_budget_from(self->context_->node_settings));
     bool again = co_await self->identify_spares(plan, agreed_view);
     if (again) continue;
     if (consensus::same_voters(plan->target, agreed_view.voters)) self->report_lost(observed);
@@ -226,7 +227,7 @@
   auto agreed_view = co_await reconfiguration::agreed_view(shared->catalog, self->name_,
                                                            shared->runtime.now() + agreement_timeout);
   if (!agreed_view || agreed_view->number == 0) co_return;
-  if (self->group_.current_view().number == 0) self->group_.learn(*agreed_view);
+  if (self->group_.current_view().number == 0) self->group_.learn_view(*agreed_view);
   // Before any move, so that a group that was bootstrapped too small is reported at once.
   self->shortfall_.update(agreed_view->voters);
   auto target = co_await self->plan(*agreed_view);
--- a/src/engine_stand_in/main.cc
+++ b/src/engine_stand_in/main.cc
@@ -24,11 +24,11 @@
 // invalid.
 engine_stand_in::options options_from_flags() {
   FILE* file = fopen(absl::GetFlag(FLAGS_engine).c_str(), "rb");
-  if (!file) settings::end_with("engine_stand_in", {"--engine", "names a file that can't be read"});
+  if (!file) settings::exit_with_fault("engine_stand_in", {"--engine", "names a file that can't be read"});
   auto list = nlohmann::json::parse(file, nullptr, false);
   fclose(file);
   if (!list.is_array())
-    settings::end_with("engine_stand_in", {"--engine", "names a file that is not a JSON list"});
+    settings::exit_with_fault("engine_stand_in", {"--engine", "names a file that is not a JSON list"});
   engine_stand_in::options config;
   for (auto& entry : list) {
     if (!entry.is_object() || entry.value("name", "") != absl::GetFlag(FLAGS_only)) continue;
@@ -41,9 +41,9 @@
     config.weights = entry.value("weights", "v1");
   }
   if (config.name.empty())
-    settings::end_with("engine_stand_in", {"--only", "names an engine that is not in the file"});
+    settings::exit_with_fault("engine_stand_in", {"--only", "names an engine that is not in the file"});
   if (!settings::is_address(config.http))
-    settings::end_with("engine_stand_in", {"address", "must be ip:port"});
+    settings::exit_with_fault("engine_stand_in", {"address", "must be ip:port"});
   config.prefill_tokens_per_second = absl::GetFlag(FLAGS_prefill_tokens_per_second);
   config.token_milliseconds = absl::GetFlag(FLAGS_token_milliseconds);
   config.transfer_bytes_per_second = absl::GetFlag(FLAGS_transfer_bytes_per_second);
@@ -65,7 +65,7 @@
       "       [--hash_seed TEXT]\n\nExample:\n  engine_stand_in --engine fleet/engines.json --only "
       "perth-m1\n";
   auto positional = settings::parse_flags(argument_count, arguments, usage);
-  if (!positional.empty()) settings::end_with("engine_stand_in", {positional[0], "is not expected"});
+  if (!positional.empty()) settings::exit_with_fault("engine_stand_in", {positional[0], "is not expected"});
   auto config = options_from_flags();
   logging::start("engine_stand_in", "WARN");
   runtime::event_loop loop("");
--- a/src/herontallyctl/main.cc
+++ b/src/herontallyctl/main.cc
@@ -20,7 +20,7 @@
     auto end = std::min(text.find(',', begin), text.size());
     parts.push_back(text.substr(begin, end - begin));
     if (!settings::is_address(parts.back()))
-      settings::end_with("herontallyctl", {flag, "must be ip:port, not \"" + parts.back() + "\""});
+      settings::exit_with_fault("herontallyctl", {flag, "must be ip:port, not \"" + parts.back() + "\""});
     begin = end + 1;
   }
   return parts;
@@ -28,16 +28,16 @@
 
 int main(int argument_count, char** arguments) {
   auto positional = settings::parse_flags(argument_count, arguments, herontallyctl::help());
-  if (positional.empty()) settings::end_with("herontallyctl", {"COMMAND", "is missing; see --help"});
+  if (positional.empty()) settings::exit_with_fault("herontallyctl", {"COMMAND", "is missing; see --help"});
   herontallyctl::client_options options;
   options.cores = split_addresses(absl::GetFlag(FLAGS_core), "--core");
   options.proxies = split_addresses(absl::GetFlag(FLAGS_proxy), "--proxy");
   options.token = absl::GetFlag(FLAGS_token);
   options.timeout_seconds = absl::GetFlag(FLAGS_timeout);
   if (options.timeout_seconds <= 0 || options.timeout_seconds > 600)
-    settings::end_with("herontallyctl", {"--timeout", "must be above 0 and at most 600 seconds"});
+    settings::exit_with_fault("herontallyctl", {"--timeout", "must be above 0 and at most 600 seconds"});
   if (options.cores.empty() && positional[0] != "ledger")
-    settings::end_with("herontallyctl", {"--core", "is missing"});
+    settings::exit_with_fault("herontallyctl", {"--core", "is missing"});
   if (absl::GetFlag(FLAGS_expect) >= 0) {
     positional.push_back("expect");
     positional.push_back(std::to_string(absl::GetFlag(FLAGS_expect)));
--- a/src/load_generator/main.cc
+++ b/src/load_generator/main.cc
@@ -23,26 +23,27 @@
       "       [--requests_per_second N] [--seconds N] [--crowd_at_second N] [--crowd N]\n\n"
       "The report is JSON. Exit code 1 if a response had a protocol error or no turn completed.\n\n"
       "Example:\n  load_generator --proxies 127.0.0.1:7302,127.0.0.1:7304 --seconds 20\n");
-  if (!positional.empty()) settings::end_with("load_generator", {positional[0], "is not expected"});
+  if (!positional.empty()) settings::exit_with_fault("load_generator", {positional[0], "is not expected"});
   load_generator::options config;
   std::string text = absl::GetFlag(FLAGS_proxies);
   for (std::size_t begin = 0; begin < text.size();) {
     auto end = std::min(text.find(',', begin), text.size());
     config.proxies.push_back(text.substr(begin, end - begin));
     if (!settings::is_address(config.proxies.back()))
-      settings::end_with("load_generator", {"--proxies", "must be a comma-separated list of ip:port"});
+      settings::exit_with_fault("load_generator", {"--proxies", "must be a comma-separated list of ip:port"});
     begin = end + 1;
   }
-  if (config.proxies.empty()) settings::end_with("load_generator", {"--proxies", "is missing"});
+  if (config.proxies.empty()) settings::exit_with_fault("load_generator", {"--proxies", "is missing"});
   config.shape = absl::GetFlag(FLAGS_shape);
   if (config.shape != "swanreach" && config.shape != "zastavica")
-    settings::end_with("load_generator", {"--shape", "must be swanreach or zastavica"});
+    settings::exit_with_fault("load_generator", {"--shape", "must be swanreach or zastavica"});
   config.requests_per_second = absl::GetFlag(FLAGS_requests_per_second);
   config.seconds = absl::GetFlag(FLAGS_seconds);
   if (config.requests_per_second <= 0 || config.requests_per_second > 10000)
-    settings::end_with("load_generator", {"--requests_per_second", "must be above 0 and at most 10000"});
+    settings::exit_with_fault("load_generator",
+                              {"--requests_per_second", "must be above 0 and at most 10000"});
   if (config.seconds <= 0 || config.seconds > 86400)
-    settings::end_with("load_generator", {"--seconds", "must be above 0 and at most 86400"});
+    settings::exit_with_fault("load_generator", {"--seconds", "must be above 0 and at most 86400"});
   config.crowd_at_second = absl::GetFlag(FLAGS_crowd_at_second);
   config.crowd = absl::GetFlag(FLAGS_crowd);
   runtime::event_loop loop("");
--- a/src/platform_stand_in/main.cc
+++ b/src/platform_stand_in/main.cc
@@ -19,17 +19,17 @@
       "Usage: platform_stand_in --listen IP:PORT --engines FILE [--nodes A,B,...] [--late_milliseconds N]\n\n"
       "Example:\n  platform_stand_in --listen 127.0.0.1:7900 --engines fleet/engines.json\n";
   auto positional = settings::parse_flags(argument_count, arguments, usage);
-  if (!positional.empty()) settings::end_with("platform_stand_in", {positional[0], "is not expected"});
+  if (!positional.empty()) settings::exit_with_fault("platform_stand_in", {positional[0], "is not expected"});
   platform_stand_in::options config;
   config.http = absl::GetFlag(FLAGS_listen);
   if (!settings::is_address(config.http))
-    settings::end_with("platform_stand_in", {"--listen", "must be ip:port"});
+    settings::exit_with_fault("platform_stand_in", {"--listen", "must be ip:port"});
   FILE* file = fopen(absl::GetFlag(FLAGS_engines).c_str(), "rb");
-  if (!file) settings::end_with("platform_stand_in", {"--engines", "names a file that can't be read"});
+  if (!file) settings::exit_with_fault("platform_stand_in", {"--engines", "names a file that can't be read"});
   config.engines = nlohmann::json::parse(file, nullptr, false);
   fclose(file);
   if (!config.engines.is_array())
-    settings::end_with("platform_stand_in", {"--engines", "names a file that is not a JSON list"});
+    settings::exit_with_fault("platform_stand_in", {"--engines", "names a file that is not a JSON list"});
   std::string nodes = absl::GetFlag(FLAGS_nodes);
   for (std::size_t begin = 0; begin < nodes.size();) {
     auto end = std::min(nodes.find(',', begin), nodes.size());
@@ -38,7 +38,8 @@
   }
   for (auto& address : config.nodes)
     if (!settings::is_address(address))
-      settings::end_with("platform_stand_in", {"--nodes", "must be a comma-separated list of ip:port"});
+      settings::exit_with_fault("platform_stand_in",
+                                {"--nodes", "must be a comma-separated list of ip:port"});
   config.late_milliseconds = absl::GetFlag(FLAGS_late_milliseconds);
   logging::start("platform_stand_in", "WARN");
   runtime::event_loop loop("");
--- a/src/platform_stand_in/node.cc
+++ b/src/platform_stand_in/node.cc
@@ -51,7 +51,7 @@
 
   void serve_request(const runtime::inbound_request& incoming, const http_api::writer& out) {
     if (silent) return out->cut();
-    if (http_api::common_pages(incoming, out, logger, true)) return;
+    if (http_api::serve_common_endpoints(incoming, out, logger, true)) return;
     if (incoming.path == "/v1/engines" && incoming.method == "GET")
       return http_api::reply_json(out, 200, {{"engines", visible_engines}});
     if (incoming.path == "/v1/nodes" && incoming.method == "GET")
@@ -94,7 +94,7 @@
                                            [weak](runtime::inbound_request incoming, http_api::writer out) {
                                              if (auto here = weak.lock()) here->serve_request(incoming, out);
                                            });
-  if (!served) co_return "http can't be listened on: " + state_->config.http;
+  if (!served) co_return "can't listen on the http address: " + state_->config.http;
   state_->runtime.spawn(state::check_nodes(state_));
   co_return std::nullopt;
 }
--- a/src/proxy/platform_ingress.cc
+++ b/src/proxy/platform_ingress.cc
@@ -12,7 +12,7 @@
 router::router_options options_of(const context& shared, quota::tenant_quotas quotas) {
   router::router_options options;
   options.quotas = std::move(quotas);
-  options.operation_key_time = shared.node_settings.operation_key_milliseconds * millisecond;
+  options.operation_key_retention = shared.node_settings.operation_key_milliseconds * millisecond;
   options.zone = shared.node_settings.zone;
   options.min_cached_token_delta = shared.platform.min_cached_token_delta;
   return options;
@@ -46,7 +46,7 @@
         http_api::serve_guarded(self->router_.serve(std::move(request), out), out, shared.logger));
   };
   if (!runtime.http_serve(node_settings.ingress, serve_client))
-    return "ingress can't be listened on: " + node_settings.ingress;
+    return "can't listen on the ingress address: " + node_settings.ingress;
   auto serve_readiness = [weak](runtime::inbound_request request, http_api::writer out) {
     auto self = weak.lock();
     if (!self) return;
@@ -56,7 +56,7 @@
     out->reply(std::move(response));
   };
   if (!runtime.http_serve(node_settings.readiness, serve_readiness))
-    return "readiness can't be listened on: " + node_settings.readiness;
+    return "can't listen on the readiness address: " + node_settings.readiness;
   return std::nullopt;
 }
 
@@ -120,7 +120,7 @@
   runtime.http_drain(node_settings.ingress);
   co_await runtime.sleep(std::min<std::int64_t>(max_arrival_milliseconds, notice / 2) * millisecond);
   co_await self->wait_until_idle(last);
-  self->router_.give_up_requests();
+  self->router_.abort_requests();
   // Leaves time to send their answers and those to requests read last.
   auto end = runtime.now() + last_answers_time;
   auto is_unanswered = [&] {
--- a/src/router/attempt.cc
+++ b/src/router/attempt.cc
@@ -76,7 +76,7 @@
 
 void request_router::state::record_failure(const client_exchange& exchange, interning::symbol engine,
                                            const runtime::http_failure& failure) {
-  engines.failed(engine, !failure.sent, runtime.now());
+  engines.request_failed(engine, !failure.sent, runtime.now());
   bool on_idle_connection = failure.sent && !failure.garbled && failure.idle_before >= 0;
   if (!on_idle_connection) return;
   // The engine may have dropped the idle connection; the request may have run nevertheless.
@@ -123,7 +123,7 @@
     co_return attempt_outcome::in_progress;
   }
   if (not_run && head.status != bad_request) {
-    self->engines.answered(attempt_plan.engine, metadata, self->runtime.now());
+    self->engines.request_answered(attempt_plan.engine, metadata, self->runtime.now());
     co_await self->read_to_end(stream);
     co_return attempt_outcome::not_run;
   }
@@ -135,9 +135,9 @@
   else
     outcome = co_await self->forward_complete(exchange, stream, head.status, end_to_end(head.headers));
   if (outcome == attempt_outcome::answered)
-    self->engines.answered(attempt_plan.engine, metadata, self->runtime.now());
+    self->engines.request_answered(attempt_plan.engine, metadata, self->runtime.now());
   if (outcome == attempt_outcome::unknown || outcome == attempt_outcome::stream_cut)
-    self->engines.failed(attempt_plan.engine, false, self->runtime.now());
+    self->engines.request_failed(attempt_plan.engine, false, self->runtime.now());
   co_return outcome;
 }
 
@@ -160,9 +160,9 @@
   auto self = shared_from_this();
   auto engine = attempt_plan.engine;
   self->log_placement(*exchange, attempt_plan);
-  self->engines.sent(engine, attempt_plan.unread_tokens, self->runtime.now());
+  self->engines.request_sent(engine, attempt_plan.uncached_tokens, self->runtime.now());
   absl::Cleanup ended = [self, engine] {
-    self->engines.ended(engine);
+    self->engines.request_ended(engine);
     self->notify_waiting();
   };
   auto stream = std::make_shared<runtime::http_stream>(self->runtime, attempt_plan.address,
@@ -171,7 +171,7 @@
     if (auto alive = weak.lock()) alive->interrupt();
   };
   auto first = co_await stream->next(std::max<microseconds>(1, exchange->deadline - self->runtime.now()));
-  self->engines.started_answering(engine, attempt_plan.unread_tokens);
+  self->engines.started_answering(engine, attempt_plan.uncached_tokens);
   auto outcome = attempt_outcome::deadline_exceeded;
   if (first && !exchange->client_disconnected)
     outcome = co_await self->handle_first_event(exchange, attempt_plan, stream, std::move(*first));
@@ -181,7 +181,7 @@
   // The engine keeps the prompt that it has read in its cache for a while.
   bool read = outcome == attempt_outcome::answered || outcome == attempt_outcome::stream_cut ||
               outcome == attempt_outcome::client_disconnected;
-  if (read) self->engines.prefixes().note(engine, attempt_plan.parts, self->runtime.now());
+  if (read) self->engines.prefixes().record_use(engine, attempt_plan.parts, self->runtime.now());
   co_return outcome;
 }
 
@@ -226,7 +226,7 @@
 static ledger::turn_record make_turn_record(const client_exchange& exchange, std::int64_t promised_until) {
   ledger::turn_record record;
   record.id = exchange.ledger_id(exchange.metadata.attempt);
-  record.kept_until = promised_until + chain_margin;
+  record.retained_until = promised_until + chain_margin;
   bool outlives_chain =
       exchange.chain_expires_at < promised_until && exchange.body.size() <= max_copied_chain;
   record.previous = outlives_chain ? "" : exchange.ledger_id(exchange.metadata.previous);
@@ -238,9 +238,9 @@
 // turn is stored, or need not be. False: the caller must cut the stream.
 task<bool> request_router::state::store_turn(client_exchange_pointer exchange, std::string output) {
   auto self = shared_from_this();
-  if (!exchange->route.kept) co_return true;
+  if (!exchange->route.stores_turns) co_return true;
   auto record = make_turn_record(
-      *exchange, self->runtime.wall() + exchange->route.keep * millisecond + retention_margin);
+      *exchange, self->runtime.wall() + exchange->route.retention * millisecond + retention_margin);
   record.output = std::move(output);
   bool durable = co_await self->programs.keep_turn(std::move(record), exchange->deadline + store_grace);
   if (!durable) self->logger.count("herontally_turns_not_kept_total");
@@ -251,7 +251,7 @@
                                                             std::shared_ptr<runtime::http_stream> stream,
                                                             headers answer_headers) {
   auto self = shared_from_this();
-  event_scanner scanner(exchange->route.kept);
+  event_scanner scanner(exchange->route.stores_turns);
   auto send_head = [&exchange, &answer_headers] {
     if (!exchange->head_sent) exchange->out->start(200, answer_headers);
     exchange->head_sent = true;
--- a/src/router/operation.cc
+++ b/src/router/operation.cc
@@ -34,7 +34,7 @@
       return std::nullopt;
     case claim_status::in_progress:
       return rejection{conflict, "the operation is in progress", 100};
-    case claim_status::unknown_end:
+    case claim_status::outcome_unknown:
       return rejection{bad_gateway, "the operation may have run, and its answer is lost"};
     case claim_status::unreachable:
     case claim_status::uncertain:
@@ -81,7 +81,7 @@
   first.service = exchange->service.name;
   first.deduplicated = exchange->service.deduplicates;
   first.running_until = self->runtime.wall() + (exchange->deadline - self->runtime.now());
-  first.keep_until = self->runtime.wall() + self->options.operation_key_time + clock_margin;
+  first.keep_until = self->runtime.wall() + self->options.operation_key_retention + clock_margin;
   auto claimed = co_await self->operations.claim(exchange->operation_id(), first,
                                                  self->shutdown.limit_to_shutdown(claim_deadline(*exchange)));
   if (auto refusal = rejection_of(claimed.status)) {
--- a/src/simulator/control_oracle.cc
+++ b/src/simulator/control_oracle.cc
@@ -89,11 +89,11 @@
   auto lacking = ht::control_node::shortfall_of(agreed.voters, budget);
   // With every machine healthy the group can't grow any further.
   bool complete = all_healthy(machines);
-  if (lacking.voters > 0 && (healthy >= budget.voters() || complete))
+  if (lacking.missing_voters > 0 && (healthy >= budget.voters() || complete))
     return number + " has " + std::to_string(agreed.voters.size()) + " voters of " +
            std::to_string(budget.voters());
-  if (lacking.crowded > 0 && complete)
-    return number + " has " + std::to_string(lacking.crowded) + " voters too many in a zone";
+  if (lacking.over_zone_limit > 0 && complete)
+    return number + " has " + std::to_string(lacking.over_zone_limit) + " voters too many in a zone";
   return "";
 }
 
@@ -156,7 +156,7 @@
 void control_oracle::state::check_owner(const machine_snapshot& core,
                                         const ht::singleton::role_status& role) {
   auto key = core.name + "/" + std::to_string(core.life) + "/" + role.role + "/" + std::to_string(role.epoch);
-  if (role.owned && role.refused)
+  if (role.owned && role.epoch_refused)
     site.report("ROLE", core.name + " continues in the role " + role.role + " under epoch " +
                             std::to_string(role.epoch) + ", which was refused");
   auto& newest = newest_epoch[role.role];
--- a/src/simulator/main.cc
+++ b/src/simulator/main.cc
@@ -44,7 +44,7 @@
   simulator::run_options options;
   auto shape = simulator::deployment(absl::GetFlag(FLAGS_deployment));
   if (!shape)
-    settings::end_with("simulator", {"--deployment", "must be small, swanreach, zastavica or both"});
+    settings::exit_with_fault("simulator", {"--deployment", "must be small, swanreach, zastavica or both"});
   options.site = *shape;
   options.only = simulator::parse_kinds("simulator", absl::GetFlag(FLAGS_only), simulator::fault_kinds());
   options.faults = static_cast<int>(absl::GetFlag(FLAGS_faults));
@@ -59,7 +59,7 @@
 #ifdef HERONTALLY_BREAKS
   breaks().insert(mechanism);
 #else
-  settings::end_with("simulator", {"--broken", "needs a build with HERONTALLY_BREAKS"});
+  settings::exit_with_fault("simulator", {"--broken", "needs a build with HERONTALLY_BREAKS"});
 #endif
 }
 
@@ -102,7 +102,7 @@
 
 int main(int count, char** arguments) {
   auto rest = settings::parse_flags(count, arguments, usage_text);
-  if (!rest.empty()) settings::end_with("simulator", {rest[0], "is not expected"});
+  if (!rest.empty()) settings::exit_with_fault("simulator", {rest[0], "is not expected"});
   auto seeds = simulator::parse_seeds("simulator", absl::GetFlag(FLAGS_seeds));
   auto options = options_of_flags();
   std::string broken = absl::GetFlag(FLAGS_broken);
@@ -111,7 +111,8 @@
   std::string measurement = absl::GetFlag(FLAGS_measure);
   if (!measurement.empty()) {
     if (simulator::measure(measurement)) return 0;
-    settings::end_with("simulator", {"--measure", "must be one of: " + simulator::measurement_names()});
+    settings::exit_with_fault("simulator",
+                              {"--measure", "must be one of: " + simulator::measurement_names()});
   }
   auto rule = absl::GetFlag(FLAGS_expect);
   auto run = [&options](std::uint64_t seed) {
--- a/src/simulator/oracle_engines.cc
+++ b/src/simulator/oracle_engines.cc
@@ -44,7 +44,7 @@
                                      std::int64_t initial, std::int64_t max) {
   double age = static_cast<double>(sim_world.now() - engine.started_at) / rt::second;
   if (age >= engine.warm_seconds) return;
-  auto cap = herontally::placement::ramped(initial, max, age, engine.warm_seconds);
+  auto cap = herontally::placement::slow_start_limit(initial, max, age, engine.warm_seconds);
   std::int64_t count = 0;
   std::string from;
   for (auto& each : event.active) {
--- a/src/simulator/site.cc
+++ b/src/simulator/site.cc
@@ -108,7 +108,7 @@
   given.platform = machines.at("platform").http;
   given.operators = {{operator_token, "*"}};
   given.disk_megabytes = 64;
-  given.speaks = protocol_versions[entry.name];
+  given.protocol_version = protocol_versions[entry.name];
   auto node = std::make_shared<Node>(sim_world.runtime_of(entry.name), given, entry.logger);
   sim_world.runtime_of(entry.name)
       .spawn([](std::shared_ptr<Node> started, site* owner, std::string name) -> rt::task<> {
--- a/src/storage_node/node.cc
+++ b/src/storage_node/node.cc
@@ -26,7 +26,7 @@
     options.group = "store";
     options.bucket_count = 8;
     options.limit_bytes = config.disk_megabytes << 20;
-    options.attribute = kept_until_attribute;
+    options.attribute = retention_end_attribute;
     return options;
   }
   state(runtime::handle handle, settings::settings node_config, logging::logger node_logger)
@@ -34,10 +34,10 @@
         config(std::move(node_config)),
         logger(node_logger),
         endpoint(handle, config.name, node_logger),
-        members(endpoint, membership::own_entry(config, rpc::node_role::store), config.seeds),
+        members(endpoint, membership::self_entry(config, rpc::node_role::store), config.seeds),
         voter(endpoint, make_voter_options(config)),
         group(endpoint, "store") {
-    if (config.speaks > 0) endpoint.set_version(config.speaks);
+    if (config.protocol_version > 0) endpoint.set_version(config.protocol_version);
   }
 
   static task<> watch_forever(std::shared_ptr<state> self) {
@@ -59,26 +59,26 @@
   auto self = state_;
   std::weak_ptr<state> weak = self;
   self->voter.on_view([weak](const consensus::view& installed) {
-    if (auto locked = weak.lock()) locked->group.learn(installed);
+    if (auto locked = weak.lock()) locked->group.learn_view(installed);
   });
   auto opened = co_await self->voter.open();
   if (opened == replication::open_error::failed)
-    co_return std::string("data can't be read or written: ") + self->config.data;
-  if (self->voter.current_view().number > 0) self->group.learn(self->voter.current_view());
+    co_return std::string("can't read or write the data folder: ") + self->config.data;
+  if (self->voter.current_view().number > 0) self->group.learn_view(self->voter.current_view());
   self->members.start();
   // Listens only from here on, when messages of every kind can be answered.
   if (!self->endpoint.listen(self->config.inner))
-    co_return "inner can't be listened on: " + self->config.inner;
+    co_return "can't listen on the inner address: " + self->config.inner;
   self->runtime.spawn(self->voter.repair_forever());
   self->runtime.spawn(expire_forever(self->voter, self->group, self->members));
   self->runtime.spawn(state::watch_forever(self));
   bool served = self->runtime.http_serve(
       self->config.http, [weak](runtime::inbound_request request, http_api::writer out) {
         auto locked = weak.lock();
-        if (!locked || http_api::common_pages(request, out, locked->logger, locked->ready)) return;
+        if (!locked || http_api::serve_common_endpoints(request, out, locked->logger, locked->ready)) return;
         http_api::reject(out, 404, "no such page", http_api::executed::no);
       });
-  if (!served) co_return "http can't be listened on: " + self->config.http;
+  if (!served) co_return "can't listen on the http address: " + self->config.http;
   self->logger.info("started", {{"voter", self->voter.id()}, {"keys", self->voter.records().record_count()}});
   co_return std::nullopt;
 }
--- a/tests/input_fuzz/targets.cc
+++ b/tests/input_fuzz/targets.cc
@@ -183,14 +183,14 @@
   auto metadata = adapter().read_request(drawn_headers(inputs));
   std::set<std::string> evacuated;
   for (int number = 0; number < 6; ++number) {
-    router::subject subject{table.routes[0], table.services[0], metadata, {}, 1};
+    router::planning_request subject{table.routes[0], table.services[0], metadata, {}, 1};
     router::planning_context context{table, evacuated, "zone-a", 3, router::node_group{3, 0}, second, second};
     auto planned = router::make_plan(subject, pool, context, inputs.random());
     auto* made = std::get_if<router::plan>(&planned);
     if (!made) break;
-    pool.sent(made->engine, made->unread_tokens, second);
-    pool.prefixes().note(made->engine, made->parts, second);
-    pool.answered(made->engine, adapter().read_response(200, drawn_headers(inputs)), second);
+    pool.request_sent(made->engine, made->uncached_tokens, second);
+    pool.prefixes().record_use(made->engine, made->parts, second);
+    pool.request_answered(made->engine, adapter().read_response(200, drawn_headers(inputs)), second);
   }
 }
 
--- a/tests/model/run.cc
+++ b/tests/model/run.cc
@@ -76,11 +76,11 @@
                                             std::vector<consensus::voter_info> voters,
                                             std::shared_ptr<std::optional<bool>> done) {
     auto deadline = founder.endpoint().runtime().now() + founding_timeout;
-    auto begun = co_await reconfiguration::begin_group(founder.endpoint(), group_name, voters, deadline);
+    auto begun = co_await reconfiguration::bootstrap_group(founder.endpoint(), group_name, voters, deadline);
     auto* first = std::get_if<consensus::view>(&begun);
     *done = first != nullptr;
     if (!first) co_return;
-    founder.learn(*first);
+    founder.learn_view(*first);
     std::string text = consensus::to_text(*first);
     // Only if the register is empty, as in production: a retried round must not restore the first view.
     consensus::mutator write_if_empty = [text](const std::optional<std::string>& current) {
--- a/tests/platform_fixture.h
+++ b/tests/platform_fixture.h
@@ -51,7 +51,7 @@
 }
 
 // An adapter with only the members for the operator's calls, the engine list and load reports.
-inline platform_protocol::adapter words() {
+inline platform_protocol::adapter operator_adapter() {
   platform_protocol::adapter made;
   platform::fill_operators(made);
   return made;
--- a/tests/platform_operators_test.cc
+++ b/tests/platform_operators_test.cc
@@ -14,10 +14,10 @@
   CHECK(talk.kind == routing::category::streaming);
   CHECK(talk.deadline == 4000);
   CHECK(talk.latency_target == 200);
-  CHECK(talk.tries == 2);
-  CHECK(talk.keep == 60000);
+  CHECK(talk.max_attempts == 2);
+  CHECK(talk.retention == 60000);
   CHECK(talk.interval_target == 300);
-  CHECK((talk.kept && talk.affine && !talk.resumable));
+  CHECK((talk.stores_turns && talk.affine && !talk.resumable));
   CHECK(talk.targets[0].share == 90);
   CHECK(result.table.routes[1].targets[0].service == "tool");
   auto* chat = result.table.find_service("chat");
@@ -217,7 +217,7 @@
 }
 
 TEST_CASE("a name that isn't printable text is rejected as the name of a zone or node") {
-  auto adapter = words();
+  auto adapter = operator_adapter();
   for (auto* path : {"/-/evacuation/\x85/begin", "/-/retire/a\xff/begin", "/-/retire/a b/read"}) {
     auto command = adapter.read_command(call("POST", path));
     CHECK(std::holds_alternative<platform_protocol::unknown_command>(command));
