--- a/src/simulator/faults_aimed.cc
+++ b/src/simulator/faults_aimed.cc
@@ -182,8 +182,7 @@
 // Power fails right after the next acknowledgement, at one machine with a disk or at all of them.
 void fault_injector::state::lose_power_after_reply() {
   bool all = sim().draw(2);
-  log_fault(std::string("power failure at the next acknowledgement, of ") +
-            (all ? "all machines with disks" : "one machine with a disk"));
+  log_fault(std::string("power failure at the next reply, of ") + (all ? "all disks" : "one disk"));
   on_next_reply = [self = shared_from_this(), all] {
     std::vector<std::string> names;
     for (auto* role : {"control_node", "storage_node"})
