--- a/tests/platform_operators_test.cc
+++ b/tests/platform_operators_test.cc
@@ -23,7 +23,7 @@
   auto* chat = result.table.find_service("chat");
   REQUIRE((chat && chat->model));
   CHECK(chat->connections == 360);
-  CHECK(chat->cold_rate == 22.5);
+  CHECK(chat->slow_start_rate == 22.5);
   CHECK(chat->model->memory_tokens == 207117);
   CHECK(chat->model->models == std::vector<std::string>{"m"});
   CHECK(result.table.limits.idle_timeout == 15000);
