--- a/tests/pool_test.cc
+++ b/tests/pool_test.cc
@@ -93,7 +93,7 @@
   CHECK(run_exchange(env, pooled_request(), make_response("four"), 3)->body == "four");
 }
 
-TEST_CASE("a truncated body fails; a body without a length completes only with an announced close",
+TEST_CASE("a truncated body fails, and a body without a length completes only with an announced close",
           "[pool]") {
   loop env;
   auto truncated = [&](const std::string& bytes, std::size_t index) {
