--- a/tests/deploy_voters_test.cc
+++ b/tests/deploy_voters_test.cc
@@ -51,8 +51,8 @@
 
 }  // namespace
 
-// Guards against a share in the deploy file that starts three voters where tolerating the loss of two
-// machines takes five.
+// Guards against review case 1 (CONFIG): a share in the deploy file that starts three voters where tolerating
+// the loss of two machines takes five.
 TEST_CASE("the deploy file starts the voters that each known deployment's loss budget takes") {
   for (auto& deployment : known_deployments()) {
     INFO(deployment.name);
--- a/tests/voter_shortfall_test.cc
+++ b/tests/voter_shortfall_test.cc
@@ -12,7 +12,8 @@
 
 }  // namespace
 
-// Guards against a group that has three voters, unreported, in a deployment whose loss budget takes five.
+// Guards against review case 1 (CONFIG): a group that has three voters, unreported, in a deployment whose
+// loss budget takes five.
 TEST_CASE("a group that starts with fewer voters than its loss budget takes is reported at once") {
   control_site site(71);
   site.machine_losses = 2;
